--- a/pumicespur/maintenance/_intents.py
+++ b/pumicespur/maintenance/_intents.py
@@ -1,11 +1,15 @@
-"""Records of what the fleet's holder is about to order, read by the next holder."""
+"""Order intents: records of the orders that a fleet leader is about to give.
+
+The next fleet leader reads them to leave those instances alone while such an order may still
+arrive.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import TYPE_CHECKING
 
-from pumicespur.maintenance._kept_rows import read_kept
+from pumicespur.maintenance._store_reads import read_with_retry
 from pumicespur.model import InstanceId, PoolId, ProcessId
 from pumicespur.schema.jobs_pb import OrderIntent, OrderIntents
 from pumicespur.store import Write
@@ -16,78 +20,79 @@
     from pumicespur.schema.node_pb import FleetSettings
 
 FLEET = PoolId("~fleet")
-"""Stands for the duty where pools stand otherwise; no pool has this name."""
+"""Id of the fleet leader's role where a pool's id is expected; no pool has this name."""
 
 INTENTS_KEY = f"waves/{FLEET}/intents"
 
-PROOF_S = 1.0
-"""Age up to which a proof of holding the duty allows an order."""
+MAX_PROOF_AGE_S = 1.0
+"""Max age of the last proof of leadership when an order is given."""
 
-SLACK_S = 0.5
-"""Added to the wait of a new holder, for orders that travel slowly."""
+DELAYED_ORDER_MARGIN_S = 0.5
+"""Added to the wait of a new fleet leader, for orders that arrive late."""
 
 
 def intent_age_s(settings: FleetSettings) -> float:
-    """Return how long an intent matters to a next holder, in seconds."""
-    return settings.lease_ms / 1000 + PROOF_S + SLACK_S
+    """Return for how long an intent matters to the next fleet leader, in seconds."""
+    return settings.lease_ms / 1000 + MAX_PROOF_AGE_S + DELAYED_ORDER_MARGIN_S
 
 
 class IntentLog:
-    """What this holder is about to order, and what the one before may just have ordered."""
+    """Order intents of this fleet leader and of the one before."""
 
     def __init__(self, journal: Journal, process: ProcessId, orders_from: float, age_s: float):
         self.journal = journal
         self.process = process
         self.orders_from = orders_from
-        """Monotonic time before which instances of the last holder's intents get no order, unless
-        their intent tells an earlier one."""
+        """Monotonic time from which the instances in the previous fleet leader's intents may get
+        orders, unless the age of an intent allows them earlier."""
         self.age_s = age_s
-        """How long an intent matters to a next holder, in seconds."""
+        """How long an intent matters to the next fleet leader, in seconds."""
         self.reserved: dict[InstanceId, float] = {}
-        """Instances for which earlier holders may have given orders just now, by the monotonic
+        """Instances for which earlier fleet leaders may have just given orders, with the monotonic
         time from which they may get another one."""
         self.recent: deque[tuple[float, OrderIntent]] = deque()
-        """Intents by monotonic time in seconds, oldest first."""
+        """Intents with their monotonic time in seconds, oldest first."""
         self.announced_at = float("-inf")
-        """When the newest intents were written down (monotonic seconds)."""
+        """Monotonic time in seconds at which the newest call of `announce` began."""
 
     async def load(self) -> None:
-        """Learn for which instances the holder before may have given orders just now."""
-        row = await read_kept(self.journal, INTENTS_KEY, "intents")
-        self._take(OrderIntents.from_binary(row.value), monotonic())
+        """Read the intents of the previous fleet leader."""
+        row = await read_with_retry(self.journal, INTENTS_KEY, "intents")
+        self._apply(OrderIntents.from_binary(row.value), monotonic())
 
-    def _take(self, record: OrderIntents, now: float) -> None:
+    def _apply(self, record: OrderIntents, now: float) -> None:
         for intent in record.intents:
-            # Kept for a holder that takes over before they have aged.
+            # Recorded again with this leader's own intents, for a next leader that takes over
+            # before they have expired.
             self.recent.append((now, intent))
-            until = self._over_at(intent, now)
+            until = self._expires_at(intent, now)
             for name in intent.instances:
                 known = self.reserved.get(InstanceId(name), until)
                 self.reserved[InstanceId(name)] = max(known, until)
 
-    def _over_at(self, intent: OrderIntent, now: float) -> float:
+    def _expires_at(self, intent: OrderIntent, now: float) -> float:
         """Return when an intent's instances may get another order (monotonic seconds)."""
         clock = self.journal.table.clock
         if not intent.recorded_ms or not clock.known:
             return self.orders_from
         recorded_at = now + (intent.recorded_ms - clock.at_least_ms(now)) / 1000
         if intent.process == self.process:
-            # An earlier life of this process: its orders do not alternate with those of another
-            # holder, and none is sent any more.
-            return recorded_at + PROOF_S + SLACK_S
+            # An earlier incarnation of this process sends no more orders, and there was no other
+            # leader whose orders could interleave with them, so the lease need not expire.
+            return recorded_at + MAX_PROOF_AGE_S + DELAYED_ORDER_MARGIN_S
         return min(self.orders_from, recorded_at + self.age_s)
 
     async def announce(self, names: set[InstanceId]) -> None:
-        """Record what is about to be ordered; this also proves that the duty is still held.
+        """Record the instances that get orders next; this also proves the leadership.
 
-        Without news an empty commit is the proof, and the recorded intents stay as they are.
+        Without a change an empty commit is the proof, and the recorded intents stay as they are.
         """
         now = monotonic()
         self.announced_at = now
-        kept = len(self.recent)
+        previous_count = len(self.recent)
         while self.recent and now - self.recent[0][0] > self.age_s:
             self.recent.popleft()
-        if not names and kept == len(self.recent):
+        if not names and previous_count == len(self.recent):
             await self.journal.commit([])
             return
         if names:
@@ -100,11 +105,11 @@
         record = OrderIntents(intents=[intent for _, intent in self.recent])
         await self.journal.commit([Write(INTENTS_KEY, record.to_binary())])
 
-    def proved(self) -> bool:
-        """Whether the duty was proved, and the intent written, lately enough to give an order."""
+    def is_proof_fresh(self) -> bool:
+        """Whether leadership was proved, and the intent recorded, recently enough for an order."""
         since = min(self.journal.confirmed_at, self.announced_at)
-        return monotonic() - since <= PROOF_S
+        return monotonic() - since <= MAX_PROOF_AGE_S
 
     def may_order(self, name: InstanceId) -> bool:
-        """Whether enough time lies behind earlier holders' orders for an instance."""
+        """Whether earlier fleet leaders' orders for an instance are old enough."""
         return monotonic() >= self.reserved.get(name, 0.0)
--- a/pumicespur/maintenance/_reports.py
+++ b/pumicespur/maintenance/_reports.py
@@ -1,4 +1,4 @@
-"""What pools' owners told of the workers on instances, as the fleet's holder reads it."""
+"""Reports of the pools' owners on workers, as the fleet leader uses them."""
 
 from __future__ import annotations
 
@@ -13,48 +13,50 @@
     from pumicespur.schema.jobs_pb import PoolReport, WorkerReport
     from pumicespur.view import NodeView
 
-REPORT_MAX_AGE_S = 3.0
-"""Oldest report of an owner from which a worker is known to be empty."""
+MAX_REPORT_AGE_S = 3.0
+"""Max age of an owner's report by which a worker counts as empty."""
 
-UNREACHED_S = 1.2
-"""Time without an answer after which a worker is replaced; a lost call is repeated by then."""
+UNREACHABLE_DELAY_S = 1.2
+"""Time without a response after which a worker is replaced; a lost call is retried within it."""
 
 
 class FleetReports:
-    """The newest reports, and when each instance's worker last answered its owner."""
+    """Newest reports of the owners, and when each instance's worker last responded."""
 
     def __init__(self, view: NodeView) -> None:
         self.view = view
         self.reached_at: dict[InstanceId, float] = {}
-        """When a worker on each instance last answered (monotonic seconds)."""
+        """When a worker on each instance last responded (monotonic seconds)."""
 
     def pools(self) -> dict[PoolId, PoolReport]:
         """Return the reports that are fresh enough to decide by."""
-        fresh = self.view.fresh_reports(REPORT_MAX_AGE_S)
+        fresh = self.view.fresh_reports(MAX_REPORT_AGE_S)
         return {pool: fresh[pool] for pool in self.view.pools() if pool in fresh}
 
     def workers(
         self, reports: Mapping[PoolId, PoolReport], instances: Iterable[Instance]
     ) -> dict[InstanceId, WorkerReport]:
-        """Return what is told of the worker on each instance."""
-        told = {worker.worker: worker for report in reports.values() for worker in report.workers}
-        return {i.id: told[i.worker] for i in instances if i.worker in told}
+        """Return the report on the worker of each instance."""
+        by_worker = {
+            worker.worker: worker for report in reports.values() for worker in report.workers
+        }
+        return {i.id: by_worker[i.worker] for i in instances if i.worker in by_worker}
 
     def reachable(self, found: Mapping[InstanceId, WorkerReport]) -> frozenset[InstanceId]:
-        """Return the instances whose workers answer, or did so a moment ago."""
+        """Return the instances whose workers responded within `UNREACHABLE_DELAY_S`."""
         now = monotonic()
         for name, report in found.items():
             if report.reachable:
                 self.reached_at[name] = now
         return frozenset(
-            name for name in found if now - self.reached_at.get(name, 0.0) < UNREACHED_S
+            name for name in found if now - self.reached_at.get(name, 0.0) < UNREACHABLE_DELAY_S
         )
 
-    def is_idle(self, instance: Instance, report: WorkerReport | None) -> bool:
-        """Whether an instance surely carries no task, nor will be given one.
+    def is_empty(self, instance: Instance, report: WorkerReport | None) -> bool:
+        """Whether an instance certainly runs no task and will be given none.
 
-        `report` is what is told of its worker; looked up anew for each instance, it would take
-        most of a round.
+        `report` is the report on its worker; looking it up for each instance would take most of
+        the time of a round.
         """
         if instance.worker is None:
             return True
@@ -65,12 +67,12 @@
             return False
         return report.reachable and report.evacuating and not report.tasks
 
-    def is_released(self, instance: Instance) -> bool:
-        """Whether an instance surely carries no task that an availability budget protects."""
+    def has_no_protected_task(self, instance: Instance) -> bool:
+        """Whether an instance certainly runs no task that an availability budget protects."""
         report = self._worker(instance)
         return report is not None and report.evacuating and not report.held_tasks
 
     def _worker(self, instance: Instance) -> WorkerReport | None:
-        report = self.view.fresh_report(instance.pool, REPORT_MAX_AGE_S)
+        report = self.view.fresh_report(instance.pool, MAX_REPORT_AGE_S)
         workers = [] if report is None else report.workers
         return next((w for w in workers if w.worker == instance.worker), None)
--- a/pumicespur/maintenance/_wave_work.py
+++ b/pumicespur/maintenance/_wave_execution.py
@@ -1,4 +1,4 @@
-"""Carries maintenance waves out: empties instances, takes them down, records how far it is."""
+"""Execution of maintenance waves: evacuates instances, takes them down, records the progress."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from logbook import Logger
 
 from pumicespur.maintenance._intents import FLEET
-from pumicespur.maintenance._waves import WaveProgress, choose_emptying
+from pumicespur.maintenance._wave_progress import WaveProgress, choose_evacuations
 from pumicespur.model import InstanceId, InstanceState
 from pumicespur.platform import encode_wave_state, wave_state_key
 from pumicespur.schema.jobs_pb import WaveRecord
@@ -21,23 +21,24 @@
     from pumicespur.config import NodeSettings
     from pumicespur.jobs import Journal
     from pumicespur.maintenance._intents import IntentLog
+    from pumicespur.maintenance._rebalancing import RebalanceInput
     from pumicespur.maintenance._reports import FleetReports
-    from pumicespur.maintenance._sizing import FleetState
     from pumicespur.model import Instance
     from pumicespur.platform import FleetOrders, PlatformTable
     from pumicespur.view import NodeView
 
 log = Logger(__name__)
 
-LIST_LAG_S = 0.2
-"""Age that an entry of the list may have when it is read."""
+MAX_LIST_LAG_S = 0.2
+"""Max age that an entry of the list of instances has when it is read."""
 
-EMPTY_S = 5.0
-"""Time after which an instance goes down although short tasks are left; some of their lengths."""
+EVACUATION_TIMEOUT_S = 5.0
+"""Time after which an instance goes down although short tasks are left on it; several times their
+length."""
 
 
-class WaveWork:
-    """The holder's work on all waves."""
+class WaveExecutor:
+    """Executor of all waves, run by the fleet leader."""
 
     def __init__(
         self,
@@ -60,15 +61,15 @@
         self.waves: dict[int, WaveProgress] = {}
         self.instances: Mapping[InstanceId, Instance] = {}
         self.listed_at = 0.0
-        """Monotonic time at which the list in use was asked for."""
+        """Monotonic time at which the current list of instances was requested."""
 
     async def run_round(
         self,
         instances: Mapping[InstanceId, Instance],
         listed_at: float,
-        decide_on: Callable[[], FleetState],
+        get_state: Callable[[], RebalanceInput],
     ) -> None:
-        """Go on with each wave, by the newest list of instances."""
+        """Advance each wave by the newest list of instances."""
         self.instances, self.listed_at = instances, listed_at
         for wave in list(self.view.waves.values()):
             progress = self.waves.get(wave.number)
@@ -78,46 +79,46 @@
                 continue
             self._note_returned(progress)
             if not progress.completed:
-                await self._work_on(progress, decide_on())
+                await self._advance_wave(progress, get_state())
 
-    def emptying(self) -> list[InstanceId]:
-        """Return the instances that are being emptied for a wave."""
-        return [name for progress in self.waves.values() for name in progress.emptying]
+    def evacuating(self) -> list[InstanceId]:
+        """Return the instances that are being evacuated for a wave."""
+        return [name for progress in self.waves.values() for name in progress.evacuating]
 
-    def taken(self) -> frozenset[InstanceId]:
-        """Return the instances that a wave is emptying or has taken down."""
-        return frozenset(n for p in self.waves.values() for n in (*p.emptying, *p.ordered))
+    def in_wave(self) -> frozenset[InstanceId]:
+        """Return the instances that a wave is evacuating or has taken down."""
+        return frozenset(n for p in self.waves.values() for n in (*p.evacuating, *p.ordered))
 
     async def _open_wave(self, number: int) -> WaveProgress | None:
-        """Read what an earlier holder recorded of a wave."""
+        """Read the progress that an earlier fleet leader recorded for a wave."""
         found = await self.table.read(_wave_key(number))
         match found:
             case Result(tag="ok", ok=row):
                 record = WaveRecord.from_binary(row.value)
-            case Result(error=fault):
-                log.warning("wave not read", wave=number, reason=str(fault))
+            case Result(error=error):
+                log.warning("wave not read", wave=number, reason=str(error))
                 return None
         progress = WaveProgress(self.view.waves[number])
-        progress.begun = {InstanceId(name) for name in record.ordered}
+        progress.confirmed = {InstanceId(name) for name in record.ordered}
         progress.completed = record.completed
-        progress.suspected = set(self.intents.reserved) & set(progress.wave.instances)
-        progress.suspected_until = self.intents.orders_from + self.settings.fleet.maintenance_s
+        progress.possibly_down = set(self.intents.reserved) & set(progress.wave.instances)
+        progress.possibly_down_until = self.intents.orders_from + self.settings.fleet.maintenance_s
         self.waves[number] = progress
         if not progress.completed:
-            await self._tell(progress)
+            await self._publish_state(progress)
         return progress
 
-    async def _work_on(self, progress: WaveProgress, state: FleetState) -> None:
+    async def _advance_wave(self, progress: WaveProgress, state: RebalanceInput) -> None:
         now = monotonic()
-        wanted = {p: max(n, state.needed.get(p, 0)) for p, n in state.reserved.items()}
-        for name in choose_emptying(progress, self.instances, state.empty, wanted, now):
-            progress.emptying[name] = now
-            log.info("instance to be emptied", wave=progress.wave.number, instance=name)
+        needed = {p: max(n, state.needed.get(p, 0)) for p, n in state.reserved.items()}
+        for name in choose_evacuations(progress, self.instances, state.empty, needed, now):
+            progress.evacuating[name] = now
+            log.info("instance to be evacuated", wave=progress.wave.number, instance=name)
         due: set[InstanceId] = set()
-        for name, since in list(progress.emptying.items()):
+        for name, since in list(progress.evacuating.items()):
             if name not in self.instances:
-                del progress.emptying[name]
-            elif name in state.empty or self._is_overdue(name, now - since):
+                del progress.evacuating[name]
+            elif name in state.empty or self._is_evacuation_overdue(name, now - since):
                 due.add(name)
         due = {name for name in due if self.intents.may_order(name)}
         if due:
@@ -125,57 +126,64 @@
             for name in sorted(due):
                 await self._take_down(progress, name)
             await self._record(progress)
-        if not progress.left(self.instances) and not progress.emptying:
+        if not progress.remaining(self.instances) and not progress.evacuating:
             progress.completed = True
             await self._record(progress)
-            await self._tell(progress)
+            await self._publish_state(progress)
 
-    def _is_overdue(self, name: InstanceId, emptying_s: float) -> bool:
+    def _is_evacuation_overdue(self, name: InstanceId, evacuating_s: float) -> bool:
         """Whether an instance may go down although short tasks are left on it."""
-        return emptying_s > EMPTY_S and self.reports.is_released(self.instances[name])
+        return evacuating_s > EVACUATION_TIMEOUT_S and self.reports.has_no_protected_task(
+            self.instances[name]
+        )
 
     def _note_returned(self, progress: WaveProgress) -> None:
-        """Count instances as up again; an order without an answer may still take effect."""
+        """Remove instances that are up again or no longer exist from the ordered ones.
+
+        An unconfirmed order may still take effect, so its instance stays.
+        """
         for name, ordered_at in list(progress.ordered.items()):
             instance = self.instances.get(name)
-            over = self.listed_at - ordered_at > self.settings.fleet.maintenance_s + LIST_LAG_S
-            back = instance is not None and instance.state is InstanceState.UP
-            if instance is None or (over and back and name in progress.begun):
+            is_over = (
+                self.listed_at - ordered_at > self.settings.fleet.maintenance_s + MAX_LIST_LAG_S
+            )
+            is_up = instance is not None and instance.state is InstanceState.UP
+            if instance is None or (is_over and is_up and name in progress.confirmed):
                 del progress.ordered[name]
 
     async def _take_down(self, progress: WaveProgress, name: InstanceId) -> None:
-        if not self.intents.proved():
+        if not self.intents.is_proof_fresh():
             return
         down = progress.down(self.instances, monotonic())
         if len(down) >= progress.wave.max_parallel and name not in down:
             return
         number = progress.wave.number
         progress.ordered.setdefault(name, monotonic())
-        answer = await self.orders.maintain(self.token, name, number)
-        match answer:
+        response = await self.orders.maintain(self.token, name, number)
+        match response:
             case Result(tag="ok"):
                 progress.ordered[name] = monotonic()
-                progress.emptying.pop(name, None)
-                progress.begun.add(name)
+                progress.evacuating.pop(name, None)
+                progress.confirmed.add(name)
                 log.info("instance down", wave=number, instance=name, token=self.token)
-            case Result(error=fault):
+            case Result(error=error):
                 log.warning(
-                    "instance not taken down", wave=number, instance=name, reason=str(fault)
+                    "instance not taken down", wave=number, instance=name, reason=str(error)
                 )
 
     async def _record(self, progress: WaveProgress) -> None:
-        record = WaveRecord(ordered=sorted(progress.begun), completed=progress.completed)
+        record = WaveRecord(ordered=sorted(progress.confirmed), completed=progress.completed)
         await self.journal.commit([Write(_wave_key(progress.wave.number), record.to_binary())])
 
-    async def _tell(self, progress: WaveProgress) -> None:
-        """Write the wave's state where operators look for it."""
+    async def _publish_state(self, progress: WaveProgress) -> None:
+        """Write the wave's state to the row that operators read."""
         write = Write(wave_state_key(progress.wave.number), encode_wave_state(progress.completed))
-        answer = await self.table.transact(Transaction([], [write]))
+        response = await self.table.transact(Transaction([], [write]))
         log.info(
-            "wave told",
+            "wave state published",
             wave=progress.wave.number,
             completed=progress.completed,
-            confirmed=answer.is_ok(),
+            confirmed=response.is_ok(),
         )
 
 
--- a/tests/test_holder_memory.py
+++ b/tests/test_fleet_leader.py
@@ -8,8 +8,8 @@
 from expression import Ok, Result
 
 from pumicespur.maintenance._intents import IntentLog
-from pumicespur.maintenance._memory import HolderMemory
-from pumicespur.maintenance._peaks import PeakHistory, least_peak, reserved_sizes
+from pumicespur.maintenance._peaks import PeakHistory, min_peak_cpu_millis, reserved_sizes
+from pumicespur.maintenance._persisted_state import PersistedState
 from pumicespur.model import (
     Capacity,
     DataHall,
@@ -75,11 +75,11 @@
     def setUp(self) -> None:
         self.rows = KeptRows()
 
-    async def hold(self, main: int, other: int) -> HolderMemory:
+    async def hold(self, main: int, other: int) -> PersistedState:
         """Begin as a holder that sees so many instances in two pools."""
-        memory = HolderMemory(cast("Any", self.rows))
+        memory = PersistedState(cast("Any", self.rows))
         await memory.load()
-        memory.see(make_instances(MAIN, main) + make_instances(OTHER, other))
+        memory.note_instances(make_instances(MAIN, main) + make_instances(OTHER, other))
         await memory.record()
         return memory
 
@@ -88,22 +88,22 @@
         # them for good.
         await self.hold(6, 6)
         successor = await self.hold(11, 4)
-        self.assertEqual({MAIN: 6, OTHER: 6}, dict(successor.declared))
+        self.assertEqual({MAIN: 6, OTHER: 6}, dict(successor.initial_sizes))
 
     async def test_nothing_is_written_without_news(self) -> None:
         memory = await self.hold(6, 6)
         await memory.record()
         self.assertEqual(1, self.rows.commits)
-        memory.peaks.note(MAIN, 90_000, 16_000, 5_000)
+        memory.peaks.note_demand(MAIN, 90_000, 16_000, 5_000)
         await memory.record()
         self.assertEqual(2, self.rows.commits)
 
     async def test_successor_knows_the_peaks(self) -> None:
         memory = await self.hold(6, 6)
-        memory.peaks.note(MAIN, 90_000, 16_000, 5_000)
+        memory.peaks.note_demand(MAIN, 90_000, 16_000, 5_000)
         await memory.record()
         successor = await self.hold(6, 6)
-        self.assertIsNotNone(successor.peaks.current(MAIN))
+        self.assertIsNotNone(successor.peaks.current_peak(MAIN))
 
 
 ROOM = 16_000
@@ -119,25 +119,25 @@
 
     def turn(self, pool: PoolId, at_s: float, length_s: float = 8.0) -> None:
         """Let a pool have a peak."""
-        self.history.note(pool, PEAK, ROOM, int(at_s * 1000))
-        self.history.note(pool, 100, ROOM, int((at_s + length_s) * 1000))
+        self.history.note_demand(pool, PEAK, ROOM, int(at_s * 1000))
+        self.history.note_demand(pool, 100, ROOM, int((at_s + length_s) * 1000))
 
     def test_little_demand_is_no_peak(self) -> None:
-        self.history.note(MAIN, ROOM - 1, ROOM, 1_000)
-        self.assertIsNone(self.history.current(MAIN))
+        self.history.note_demand(MAIN, ROOM - 1, ROOM, 1_000)
+        self.assertIsNone(self.history.current_peak(MAIN))
 
     def test_single_jobs_do_not_change_whose_turn_it_is(self) -> None:
         # Each kept an idle pool at its own size for half a minute: it counted as the pool whose
         # peak lies furthest back.
-        least = least_peak(declared=36, room=16_000)
-        self.history.note(MAIN, 30_000, least, 1_000)
-        self.history.note(OTHER, 5 * least, least, 2_000)
+        least = min_peak_cpu_millis(initial_size=36, instance_cpu_millis=16_000)
+        self.history.note_demand(MAIN, 30_000, least, 1_000)
+        self.history.note_demand(OTHER, 5 * least, least, 2_000)
         self.assertEqual({MAIN}, self.history.next_pools([MAIN, OTHER]))
 
     def test_demand_that_falls_a_little_goes_on(self) -> None:
-        self.history.note(MAIN, PEAK, ROOM, 1_000)
-        self.history.note(MAIN, PEAK // 3, ROOM, 2_000)
-        self.assertIsNotNone(self.history.current(MAIN))
+        self.history.note_demand(MAIN, PEAK, ROOM, 1_000)
+        self.history.note_demand(MAIN, PEAK // 3, ROOM, 2_000)
+        self.assertIsNotNone(self.history.current_peak(MAIN))
 
     def test_pools_without_a_peak_come_first_then_the_oldest(self) -> None:
         pools = [MAIN, OTHER, THIRD]
@@ -150,40 +150,40 @@
 
     def test_outage_does_not_make_two_peaks(self) -> None:
         self.turn(MAIN, 10, 1.0)
-        self.history.note(MAIN, PEAK, ROOM, 12_500)
+        self.history.note_demand(MAIN, PEAK, ROOM, 12_500)
         self.assertEqual(1, len(self.history.peaks))
-        self.assertIsNotNone(self.history.current(MAIN))
+        self.assertIsNotNone(self.history.current_peak(MAIN))
 
     def test_onset_is_expected_after_steady_turns(self) -> None:
         self.turn(MAIN, 10)
         self.turn(OTHER, 19)
-        self.assertIsNone(self.history.next_onset_ms())
+        self.assertIsNone(self.history.next_start_ms())
         self.turn(THIRD, 28)
-        self.assertEqual(37_000, self.history.next_onset_ms())
+        self.assertEqual(37_000, self.history.next_start_ms())
 
     def test_nothing_is_expected_of_irregular_demand(self) -> None:
         for pool, at_s in ((MAIN, 10), (OTHER, 12), (THIRD, 28), (MAIN, 30)):
             self.turn(pool, at_s, 1.0)
-        self.assertIsNone(self.history.next_onset_ms())
+        self.assertIsNone(self.history.next_start_ms())
 
     def test_unseen_peak_is_expected_as_the_others(self) -> None:
         self.turn(MAIN, 10)
-        self.assertEqual(PEAK, self.history.usual_cpu_millis(OTHER))
+        self.assertEqual(PEAK, self.history.typical_cpu_millis(OTHER))
 
     def test_peak_that_begins_is_expected_as_the_others(self) -> None:
         # Its pool asked for 31 workers a second after the onset and had use for 77.
         declared = {MAIN: 6, OTHER: 12}
-        self.assertIsNone(self.history.begun_cpu_millis(MAIN, declared, 10_000))
+        self.assertIsNone(self.history.forecast_cpu_millis(MAIN, declared, 10_000))
         self.turn(MAIN, 10)
-        self.history.note(OTHER, ROOM, ROOM, 20_000)
-        expected = self.history.begun_cpu_millis(OTHER, declared, 21_000)
+        self.history.note_demand(OTHER, ROOM, ROOM, 20_000)
+        expected = self.history.forecast_cpu_millis(OTHER, declared, 21_000)
         self.assertEqual(2 * PEAK, expected)
-        self.assertIsNone(self.history.begun_cpu_millis(OTHER, declared, 24_000))
+        self.assertIsNone(self.history.forecast_cpu_millis(OTHER, declared, 24_000))
 
     def test_and_as_its_own_last_one(self) -> None:
         self.turn(MAIN, 10)
-        self.history.note(MAIN, PEAK // 2, ROOM, 40_000)
-        self.assertEqual(PEAK, self.history.begun_cpu_millis(MAIN, {MAIN: 6}, 41_000))
+        self.history.note_demand(MAIN, PEAK // 2, ROOM, 40_000)
+        self.assertEqual(PEAK, self.history.forecast_cpu_millis(MAIN, {MAIN: 6}, 41_000))
 
     def test_pool_keeps_what_it_came_with_until_its_turn(self) -> None:
         declared = {MAIN: 6, OTHER: 5}
@@ -204,15 +204,15 @@
         pools = [MAIN, OTHER, THIRD]
         for pool, at_s in ((MAIN, 10), (OTHER, 19), (THIRD, 28)):
             self.turn(pool, at_s)
-        self.assertIsNone(self.history.due_pool(pools, 34_000, 2_500))
-        self.assertEqual(MAIN, self.history.due_pool(pools, 35_000, 2_500))
-        self.assertIsNone(self.history.due_pool(pools, 39_100, 2_500))
+        self.assertIsNone(self.history.expected_pool(pools, 34_000, 2_500))
+        self.assertEqual(MAIN, self.history.expected_pool(pools, 35_000, 2_500))
+        self.assertIsNone(self.history.expected_pool(pools, 39_100, 2_500))
 
     def test_nothing_is_due_where_the_order_changed(self) -> None:
         pools = [MAIN, OTHER, THIRD]
         for pool, at_s in ((MAIN, 10), (OTHER, 19), (THIRD, 28), (OTHER, 37)):
             self.turn(pool, at_s)
-        self.assertIsNone(self.history.due_pool(pools, 45_000, 2_500))
+        self.assertIsNone(self.history.expected_pool(pools, 45_000, 2_500))
 
 
 class IntentTest(unittest.IsolatedAsyncioTestCase):
@@ -269,6 +269,6 @@
     async def test_commit_that_took_long_allows_no_order(self) -> None:
         log = await self.hold("first")
         await log.announce({self.name})
-        self.assertTrue(log.proved())
+        self.assertTrue(log.is_proof_fresh())
         log.announced_at -= 1.5
-        self.assertFalse(log.proved())
+        self.assertFalse(log.is_proof_fresh())
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pumicespur.maintenance._sizing import MAX_MOVING_SHARE, FleetState, Sizer
-from pumicespur.maintenance._waves import WaveProgress, choose_emptying
+from pumicespur.maintenance._rebalancing import MAX_MOVING_RATIO, PoolRebalancer, RebalanceInput
+from pumicespur.maintenance._wave_progress import WaveProgress, choose_evacuations
 from pumicespur.model import (
     Capacity,
     DataHall,
@@ -59,7 +59,7 @@
     def test_no_more_than_allowed_are_under_way(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(10)))
         progress = make_wave(instances, 2)
-        chosen = choose_emptying(progress, instances, set(), {MAIN: 4}, 0.0)
+        chosen = choose_evacuations(progress, instances, set(), {MAIN: 4}, 0.0)
         self.assertEqual(2, len(chosen))
 
     def test_instances_that_another_holder_took_down_count(self) -> None:
@@ -67,21 +67,21 @@
         down = make_instance("m-0", state=InstanceState.MAINTENANCE)
         instances = index(down, *(make_instance(f"m-{n}") for n in range(1, 6)))
         progress = make_wave(instances, 2)
-        progress.suspected = {InstanceId("m-1")}
-        progress.suspected_until = 5.0
-        self.assertEqual([], choose_emptying(progress, instances, set(), {MAIN: 1}, 4.0))
-        self.assertEqual(1, len(choose_emptying(progress, instances, set(), {MAIN: 1}, 6.0)))
+        progress.possibly_down = {InstanceId("m-1")}
+        progress.possibly_down_until = 5.0
+        self.assertEqual([], choose_evacuations(progress, instances, set(), {MAIN: 1}, 4.0))
+        self.assertEqual(1, len(choose_evacuations(progress, instances, set(), {MAIN: 1}, 6.0)))
 
     def test_empty_instances_go_first(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(4)))
         progress = make_wave(instances, 1)
         idle = {InstanceId("m-3")}
-        self.assertEqual(["m-3"], choose_emptying(progress, instances, idle, {MAIN: 4}, 0.0))
+        self.assertEqual(["m-3"], choose_evacuations(progress, instances, idle, {MAIN: 4}, 0.0))
 
     def test_a_pool_without_surplus_gives_a_share(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(10)))
         progress = make_wave(instances, 10)
-        self.assertEqual(3, len(choose_emptying(progress, instances, set(), {MAIN: 10}, 0.0)))
+        self.assertEqual(3, len(choose_evacuations(progress, instances, set(), {MAIN: 10}, 0.0)))
 
     @given(st.integers(1, 6), st.integers(0, 6), st.integers(0, 12))
     def test_never_beyond_the_limit(self, parallel: int, down: int, up: int) -> None:
@@ -90,30 +90,30 @@
             *(make_instance(f"m-{n}") for n in range(up)),
         )
         progress = make_wave(instances, parallel)
-        chosen = choose_emptying(progress, instances, set(), {MAIN: 0}, 0.0)
+        chosen = choose_evacuations(progress, instances, set(), {MAIN: 0}, 0.0)
         self.assertLessEqual(len(chosen), max(0, parallel - down))
         self.assertEqual(len(chosen), min(max(0, parallel - down), up))
 
 
 def make_state(
     instances: dict[InstanceId, Instance], reserved: dict[PoolId, int], **fields: object
-) -> FleetState:
+) -> RebalanceInput:
     """Make what the holder knows; every worker is reachable and busy unless told."""
     values: dict[str, object] = {
         "instances": instances,
         "reserved": reserved,
         "needed": {},
         "busy": {},
-        "spare": frozenset({SPARE}),
+        "spare_pools": frozenset({SPARE}),
         "reachable": frozenset(i.id for i in instances.values() if i.pool != SPARE),
-        "tasks": {},
+        "task_counts": {},
         "empty": frozenset(i.id for i in instances.values() if i.pool == SPARE),
-        "held": frozenset(),
-        "taken": frozenset(),
-        "unproved": frozenset(),
+        "protected": frozenset(),
+        "in_wave": frozenset(),
+        "unconfirmed": frozenset(),
         "moving": {},
     }
-    return FleetState(**(values | fields))  # type: ignore[arg-type]
+    return RebalanceInput(**(values | fields))  # type: ignore[arg-type]
 
 
 class SizingTest(unittest.TestCase):
@@ -121,23 +121,23 @@
 
     def test_short_pool_gets_a_spare_instance(self) -> None:
         instances = index(make_instance("m-0"), make_instance("s-0", SPARE))
-        plan = Sizer().plan(make_state(instances, {MAIN: 2}), 0.0)
+        plan = PoolRebalancer().plan(make_state(instances, {MAIN: 2}), 0.0)
         self.assertEqual([("s-0", MAIN)], plan.moves)
 
     def test_unreachable_instance_is_replaced(self) -> None:
         instances = index(make_instance("m-0"), make_instance("m-1"), make_instance("s-0", SPARE))
         state = make_state(instances, {MAIN: 2}, reachable=frozenset({InstanceId("m-0")}))
-        self.assertEqual([("s-0", MAIN)], Sizer().plan(state, 0.0).moves)
+        self.assertEqual([("s-0", MAIN)], PoolRebalancer().plan(state, 0.0).moves)
 
     def test_instance_that_a_wave_took_is_not_replaced_for_its_number(self) -> None:
         # Spare instances came and went with every step of a wave.
         down = make_instance("m-1", state=InstanceState.MAINTENANCE)
         instances = index(make_instance("m-0"), down, make_instance("s-0", SPARE))
-        taken = frozenset({down.id})
-        state = make_state(instances, {MAIN: 2}, taken=taken)
-        self.assertEqual([], Sizer().plan(state, 0.0).moves)
-        state = make_state(instances, {MAIN: 2}, taken=taken, needed={MAIN: 2})
-        self.assertEqual([("s-0", MAIN)], Sizer().plan(state, 0.0).moves)
+        in_wave = frozenset({down.id})
+        state = make_state(instances, {MAIN: 2}, in_wave=in_wave)
+        self.assertEqual([], PoolRebalancer().plan(state, 0.0).moves)
+        state = make_state(instances, {MAIN: 2}, in_wave=in_wave, needed={MAIN: 2})
+        self.assertEqual([("s-0", MAIN)], PoolRebalancer().plan(state, 0.0).moves)
 
     def test_instance_that_is_still_starting_is_not_replaced(self) -> None:
         # Eight spare instances moved in while the workers were starting.
@@ -146,24 +146,24 @@
             instances,
             {MAIN: 2},
             reachable=frozenset({InstanceId("m-0")}),
-            unproved=frozenset({InstanceId("m-1")}),
+            unconfirmed=frozenset({InstanceId("m-1")}),
         )
-        self.assertEqual([], Sizer().plan(state, 0.0).moves)
+        self.assertEqual([], PoolRebalancer().plan(state, 0.0).moves)
 
     def test_arriving_instance_counts(self) -> None:
         instances = index(make_instance("m-0"), make_instance("s-0", SPARE))
         state = make_state(instances, {MAIN: 2}, moving={InstanceId("x"): MAIN})
-        self.assertEqual([], Sizer().plan(state, 0.0).moves)
+        self.assertEqual([], PoolRebalancer().plan(state, 0.0).moves)
 
     def test_busy_instance_is_emptied_before_it_moves(self) -> None:
         # Tasks were lost and a budget broken when instances moved by an old report of no tasks.
         instances = index(*(make_instance(f"m-{n}") for n in range(3)), make_instance("o-0", OTHER))
         wanted = {MAIN: 2, OTHER: 2}
-        plan = Sizer().plan(make_state(instances, wanted, tasks={}), 0.0)
+        plan = PoolRebalancer().plan(make_state(instances, wanted, task_counts={}), 0.0)
         self.assertEqual([], plan.moves)
-        self.assertEqual(1, len(plan.emptying))
-        (name,) = plan.emptying
-        plan = Sizer().plan(make_state(instances, wanted, empty=frozenset({name})), 0.4)
+        self.assertEqual(1, len(plan.evacuating))
+        (name,) = plan.evacuating
+        plan = PoolRebalancer().plan(make_state(instances, wanted, empty=frozenset({name})), 0.4)
         self.assertEqual([(name, OTHER)], plan.moves)
 
     def test_peak_that_is_over_gives_to_a_peak_that_begins(self) -> None:
@@ -175,11 +175,11 @@
         state = make_state(
             instances, reserved, needed=needed, busy={MAIN: 6, OTHER: 3}, empty=empty
         )
-        self.assertEqual([], Sizer().plan(state, 0.0).moves)
+        self.assertEqual([], PoolRebalancer().plan(state, 0.0).moves)
         state = make_state(
             instances, reserved, needed=needed, busy={MAIN: 3, OTHER: 3}, empty=empty
         )
-        moves = Sizer().plan(state, 0.0).moves
+        moves = PoolRebalancer().plan(state, 0.0).moves
         self.assertEqual({OTHER}, {pool for _, pool in moves})
         self.assertEqual(2, len({name for name, _ in moves}))
 
@@ -197,8 +197,8 @@
                 empty=frozenset(instances),
                 moving={},
             )
-            moves = Sizer().plan(state, 0.0).moves
-            allowed = math.ceil(MAX_MOVING_SHARE * len(instances))
+            moves = PoolRebalancer().plan(state, 0.0).moves
+            allowed = math.ceil(MAX_MOVING_RATIO * len(instances))
             self.assertEqual(min(lent, allowed), len(moves), size)
 
     def test_protected_tasks_are_not_moved_for_another_peak(self) -> None:
@@ -208,17 +208,17 @@
             {MAIN: 2, OTHER: 1},
             needed={MAIN: 4, OTHER: 3},
             busy={MAIN: 2, OTHER: 3},
-            held=frozenset(instances),
+            protected=frozenset(instances),
         )
-        plan = Sizer().plan(state, 0.0)
-        self.assertEqual(([], set()), (plan.moves, plan.emptying))
+        plan = PoolRebalancer().plan(state, 0.0)
+        self.assertEqual(([], set()), (plan.moves, plan.evacuating))
 
     def test_surplus_is_parked_only_after_a_while(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(3)))
         state = make_state(instances, {MAIN: 2}, empty=frozenset(instances))
-        sizer = Sizer()
-        self.assertEqual([], sizer.plan(state, 0.0).moves)
-        self.assertEqual(1, len(sizer.plan(state, 1.5).moves))
+        rebalancer = PoolRebalancer()
+        self.assertEqual([], rebalancer.plan(state, 0.0).moves)
+        self.assertEqual(1, len(rebalancer.plan(state, 1.5).moves))
 
     @given(st.integers(0, 8), st.integers(0, 8), st.integers(0, 8), st.integers(0, 4))
     def test_no_pool_falls_below_what_it_wants(
@@ -230,9 +230,9 @@
             *(make_instance(f"s-{n}", SPARE) for n in range(spare)),
         )
         state = make_state(instances, {MAIN: wanted, OTHER: 2}, empty=frozenset(instances))
-        sizer = Sizer()
-        sizer.plan(state, 0.0)
-        moves = sizer.plan(state, 2.0).moves
+        rebalancer = PoolRebalancer()
+        rebalancer.plan(state, 0.0)
+        moves = rebalancer.plan(state, 2.0).moves
         self.assertEqual(len(moves), len({name for name, _ in moves}))
         leaving = [name for name, pool in moves if instances[name].pool == MAIN]
         self.assertLessEqual(len(leaving), max(0, main - wanted))
