--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions on waves and pool sizes."""
+"""Tests of the choice of instances to evacuate and to move between pools."""
 
 from __future__ import annotations
 
@@ -49,21 +49,22 @@
 
 
 def make_wave(instances: dict[InstanceId, Instance], parallel: int) -> WaveProgress:
-    """Make a wave over all instances."""
+    """Make the progress of a wave over all instances."""
     return WaveProgress(Wave(1, tuple(instances), 20.0, parallel))
 
 
-class WaveTest(unittest.TestCase):
-    """Which instances are emptied next."""
+class TestChooseEvacuations(unittest.TestCase):
+    """Instances that a wave evacuates next."""
 
-    def test_no_more_than_allowed_are_under_way(self) -> None:
+    def test_chooses_no_more_than_max_parallel(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(10)))
         progress = make_wave(instances, 2)
         chosen = choose_evacuations(progress, instances, set(), {MAIN: 4}, 0.0)
         self.assertEqual(2, len(chosen))
 
-    def test_instances_that_another_holder_took_down_count(self) -> None:
-        # Found by the recorded day of voltaria-locator: LIMIT, after the holder was replaced.
+    def test_instances_that_an_earlier_leader_took_down_count(self) -> None:
+        # A new fleet leader exceeded the wave's limit, since it didn't count the instances that its
+        # predecessor had just taken down (LIMIT on the recorded day of voltaria-locator).
         down = make_instance("m-0", state=InstanceState.MAINTENANCE)
         instances = index(down, *(make_instance(f"m-{n}") for n in range(1, 6)))
         progress = make_wave(instances, 2)
@@ -75,16 +76,18 @@
     def test_empty_instances_go_first(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(4)))
         progress = make_wave(instances, 1)
-        idle = {InstanceId("m-3")}
-        self.assertEqual(["m-3"], choose_evacuations(progress, instances, idle, {MAIN: 4}, 0.0))
+        empty = {InstanceId("m-3")}
+        self.assertEqual(["m-3"], choose_evacuations(progress, instances, empty, {MAIN: 4}, 0.0))
 
-    def test_a_pool_without_surplus_gives_a_share(self) -> None:
+    def test_pool_without_surplus_gives_up_max_down_ratio(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(10)))
         progress = make_wave(instances, 10)
         self.assertEqual(3, len(choose_evacuations(progress, instances, set(), {MAIN: 10}, 0.0)))
 
     @given(st.integers(1, 6), st.integers(0, 6), st.integers(0, 12))
-    def test_never_beyond_the_limit(self, parallel: int, down: int, up: int) -> None:
+    def test_evacuating_and_down_stay_within_max_parallel(
+        self, parallel: int, down: int, up: int
+    ) -> None:
         instances = index(
             *(make_instance(f"d-{n}", state=InstanceState.MAINTENANCE) for n in range(down)),
             *(make_instance(f"m-{n}") for n in range(up)),
@@ -98,7 +101,7 @@
 def make_state(
     instances: dict[InstanceId, Instance], reserved: dict[PoolId, int], **fields: object
 ) -> RebalanceInput:
-    """Make what the holder knows; every worker is reachable and busy unless told."""
+    """Make the input of the rebalancer; by default every worker is reachable and busy."""
     values: dict[str, object] = {
         "instances": instances,
         "reserved": reserved,
@@ -116,8 +119,8 @@
     return RebalanceInput(**(values | fields))  # type: ignore[arg-type]
 
 
-class SizingTest(unittest.TestCase):
-    """Which instances change pool."""
+class TestPoolRebalancer(unittest.TestCase):
+    """Instances that change pool."""
 
     def test_short_pool_gets_a_spare_instance(self) -> None:
         instances = index(make_instance("m-0"), make_instance("s-0", SPARE))
@@ -129,8 +132,8 @@
         state = make_state(instances, {MAIN: 2}, reachable=frozenset({InstanceId("m-0")}))
         self.assertEqual([("s-0", MAIN)], PoolRebalancer().plan(state, 0.0).moves)
 
-    def test_instance_that_a_wave_took_is_not_replaced_for_its_number(self) -> None:
-        # Spare instances came and went with every step of a wave.
+    def test_instance_in_a_wave_is_replaced_only_for_waiting_work(self) -> None:
+        # Spare instances moved in and out with every step of a wave.
         down = make_instance("m-1", state=InstanceState.MAINTENANCE)
         instances = index(make_instance("m-0"), down, make_instance("s-0", SPARE))
         in_wave = frozenset({down.id})
@@ -140,7 +143,7 @@
         self.assertEqual([("s-0", MAIN)], PoolRebalancer().plan(state, 0.0).moves)
 
     def test_instance_that_is_still_starting_is_not_replaced(self) -> None:
-        # Eight spare instances moved in while the workers were starting.
+        # Eight spare instances had moved in while the workers were starting.
         instances = index(make_instance("m-0"), make_instance("m-1"), make_instance("s-0", SPARE))
         state = make_state(
             instances,
@@ -155,19 +158,21 @@
         state = make_state(instances, {MAIN: 2}, moving={InstanceId("x"): MAIN})
         self.assertEqual([], PoolRebalancer().plan(state, 0.0).moves)
 
-    def test_busy_instance_is_emptied_before_it_moves(self) -> None:
-        # Tasks were lost and a budget broken when instances moved by an old report of no tasks.
+    def test_busy_instance_is_evacuated_before_it_moves(self) -> None:
+        # Tasks were lost and a budget was broken when instances moved because of an outdated report
+        # of no tasks.
         instances = index(*(make_instance(f"m-{n}") for n in range(3)), make_instance("o-0", OTHER))
-        wanted = {MAIN: 2, OTHER: 2}
-        plan = PoolRebalancer().plan(make_state(instances, wanted, task_counts={}), 0.0)
+        reserved = {MAIN: 2, OTHER: 2}
+        plan = PoolRebalancer().plan(make_state(instances, reserved, task_counts={}), 0.0)
         self.assertEqual([], plan.moves)
         self.assertEqual(1, len(plan.evacuating))
         (name,) = plan.evacuating
-        plan = PoolRebalancer().plan(make_state(instances, wanted, empty=frozenset({name})), 0.4)
+        plan = PoolRebalancer().plan(make_state(instances, reserved, empty=frozenset({name})), 0.4)
         self.assertEqual([(name, OTHER)], plan.moves)
 
-    def test_peak_that_is_over_gives_to_a_peak_that_begins(self) -> None:
-        # A pool kept for six seconds what its peak had taken, while another one waited for it.
+    def test_instances_move_from_an_ended_peak_to_a_starting_one(self) -> None:
+        # A pool kept the instances of its ended peak for six seconds while another pool needed
+        # them.
         instances = index(*(make_instance(f"m-{n}") for n in range(6)), make_instance("o-0", OTHER))
         reserved = {MAIN: 2, OTHER: 1}
         needed = {MAIN: 6, OTHER: 3}
@@ -183,8 +188,8 @@
         self.assertEqual({OTHER}, {pool for _, pool in moves})
         self.assertEqual(2, len({name for name, _ in moves}))
 
-    def test_idle_pool_lends_a_share_and_a_small_one_nothing(self) -> None:
-        # A pool in its peak waited beside idle ones.
+    def test_idle_pool_lends_up_to_a_ratio_and_a_small_one_nothing(self) -> None:
+        # A pool with a peak was short of instances while other pools were idle.
         for size, lent in ((8, 0), (10, 2), (40, 20)):
             instances = index(
                 *(make_instance(f"m-{n}") for n in range(size)), make_instance("o-0", OTHER)
@@ -213,7 +218,7 @@
         plan = PoolRebalancer().plan(state, 0.0)
         self.assertEqual(([], set()), (plan.moves, plan.evacuating))
 
-    def test_surplus_is_parked_only_after_a_while(self) -> None:
+    def test_surplus_moves_to_the_spare_pool_after_a_delay(self) -> None:
         instances = index(*(make_instance(f"m-{n}") for n in range(3)))
         state = make_state(instances, {MAIN: 2}, empty=frozenset(instances))
         rebalancer = PoolRebalancer()
@@ -221,18 +226,18 @@
         self.assertEqual(1, len(rebalancer.plan(state, 1.5).moves))
 
     @given(st.integers(0, 8), st.integers(0, 8), st.integers(0, 8), st.integers(0, 4))
-    def test_no_pool_falls_below_what_it_wants(
-        self, main: int, other: int, wanted: int, spare: int
+    def test_no_pool_falls_below_its_reserved_number(
+        self, main: int, other: int, reserved: int, spare: int
     ) -> None:
         instances = index(
             *(make_instance(f"m-{n}") for n in range(main)),
             *(make_instance(f"o-{n}", OTHER) for n in range(other)),
             *(make_instance(f"s-{n}", SPARE) for n in range(spare)),
         )
-        state = make_state(instances, {MAIN: wanted, OTHER: 2}, empty=frozenset(instances))
+        state = make_state(instances, {MAIN: reserved, OTHER: 2}, empty=frozenset(instances))
         rebalancer = PoolRebalancer()
         rebalancer.plan(state, 0.0)
         moves = rebalancer.plan(state, 2.0).moves
         self.assertEqual(len(moves), len({name for name, _ in moves}))
         leaving = [name for name, pool in moves if instances[name].pool == MAIN]
-        self.assertLessEqual(len(leaving), max(0, main - wanted))
+        self.assertLessEqual(len(leaving), max(0, main - reserved))
