--- a/pumicespur/planning/_availability.py
+++ b/pumicespur/planning/_availability.py
@@ -1,7 +1,8 @@
 """How many instances of each pool are available, and how many more may go down.
 
-An instance is available when it is decided to serve and the platform lists it as live and
-not drained. Everything else, planned or not, known or not, is charged to the budget alike.
+An instance is available if its assignment is to serve and the platform lists it as live and not
+drained. Every other instance is charged to the budget, whether it is down by plan or not, and
+whatever the cause.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 @dataclass
 class PoolAvailability:
-    """The available instances of one pool, counted by failure domain."""
+    """Number of available instances of one pool, by failure domain."""
 
     pool: Pool
     assigned: int = 0
@@ -33,11 +34,11 @@
 
     @property
     def minimum(self) -> int:
-        """The budget: how many instances must be available."""
+        """Availability budget: the min number of available instances."""
         return minimum_available(self.pool)
 
-    def reserve(self) -> int:
-        """Return how many available instances one unplanned loss could take."""
+    def max_single_loss(self) -> int:
+        """Return how many available instances the loss of one failure domain could remove."""
         match self.pool.headroom:
             case FailureDomain.INSTANCE:
                 return min(1, self.available)
@@ -49,18 +50,18 @@
                 return 0
 
     def buffer(self) -> int:
-        """Return how many available instances stand beyond the budget."""
+        """Return how many available instances exceed the budget."""
         return self.available - self.minimum
 
     def add(self, assignment: Assignment, change: int) -> None:
-        """Count an available instance in (1) or out (-1)."""
+        """Add (`change` is 1) or remove (-1) an available instance."""
         self.available += change
         self.racks[assignment.rack] += change
         self.halls[assignment.data_hall] += change
 
 
 class Availability:
-    """The availability of every declared pool, as decisions take it down step by step."""
+    """Availability of every declared pool, updated as decisions take instances down."""
 
     def __init__(
         self,
@@ -80,21 +81,21 @@
                 pool.add(assignment, 1)
                 self.available.add(name)
 
-    def may_take_down(self, assignment: Assignment) -> bool:
-        """Tell whether the budget and its headroom hold without this instance.
+    def can_take_down(self, assignment: Assignment) -> bool:
+        """Whether the budget and its headroom are kept without this instance.
 
-        An instance that is unavailable already costs nothing more.
+        Taking down an instance that is already unavailable costs nothing.
         """
         pool = self.pools.get(PoolId(assignment.pool))
         if pool is None or assignment.instance not in self.available:
             return True
         pool.add(assignment, -1)
-        holds = pool.available - pool.reserve() >= pool.minimum
+        is_kept = pool.available - pool.max_single_loss() >= pool.minimum
         pool.add(assignment, 1)
-        return holds
+        return is_kept
 
     def take_down(self, assignment: Assignment) -> None:
-        """Charge an instance that a decision takes down."""
+        """Charge the budget with an instance that a decision takes down."""
         name = InstanceId(assignment.instance)
         pool = self.pools.get(PoolId(assignment.pool))
         if pool is not None and name in self.available:
@@ -103,7 +104,7 @@
 
 
 def is_available(assignment: Assignment, listed: ListedInstance | None) -> bool:
-    """Tell whether an instance counts for its pool's budget."""
+    """Whether an instance counts as available for its pool's budget."""
     if assignment.state is not InstanceState.SERVING or listed is None:
         return False
     return listed.liveness is Liveness.LIVE and not listed.drained
--- a/pumicespur/planning/_decision.py
+++ b/pumicespur/planning/_decision.py
@@ -1,11 +1,11 @@
-"""One planning round, from what is known to what is decided; nothing is done here."""
+"""The decisions of one planning round, as a function of its input and without side effects."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from pumicespur.planning._availability import Availability
-from pumicespur.planning._lifecycle import advance
+from pumicespur.planning._lifecycle import advance_instances
 from pumicespur.planning._moves import plan_moves
 from pumicespur.planning._placement import plan_placements
 from pumicespur.planning._round import Decision
@@ -15,15 +15,15 @@
     from pumicespur.planning._round import PlanInput
 
 
-def decide(known: PlanInput) -> Decision:
-    """Decide one round: finish what runs, then waves, moves and placements.
+def decide(plan_input: PlanInput) -> Decision:
+    """Decide one round: continue what was started, then plan waves, moves and placements.
 
-    Waves go before moves, because a wave has a window and a move can wait.
+    Waves are planned before moves, because a wave has a time window and a move can wait.
     """
     decision = Decision()
-    advance(known, decision)
-    available = Availability(known.fleet, known.listed, decision.assignments)
-    plan_waves(known, available, decision)
-    plan_moves(known, available, decision)
-    plan_placements(known, decision)
+    advance_instances(plan_input, decision)
+    available = Availability(plan_input.fleet, plan_input.listed, decision.assignments)
+    plan_waves(plan_input, available, decision)
+    plan_moves(plan_input, available, decision)
+    plan_placements(plan_input, decision)
     return decision
--- a/pumicespur/planning/_lifecycle.py
+++ b/pumicespur/planning/_lifecycle.py
@@ -1,4 +1,4 @@
-"""Carry on what was started: drains, reboots, returns, and instances that are gone."""
+"""Progress of what was started: drains, reboots, returns and removals of missing instances."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
     from pumicespur.planning._round import Decision, PlanInput
     from pumicespur.schema.platform_pb import ListedInstance
 
-MS = 1000
+MS_PER_S = 1000
 
 
 def drain_token(assignment: Assignment) -> str:
-    """Name the drain order of an assignment."""
+    """Return the token of an assignment's drain order."""
     return assignment.token
 
 
 def reboot_token(assignment: Assignment) -> str:
-    """Name the reboot order of an assignment."""
+    """Return the token of an assignment's reboot order."""
     return f"{assignment.token}/reboot"
 
 
 def resume_token(assignment: Assignment) -> str:
-    """Name the resume order of an assignment."""
+    """Return the token of an assignment's resume order."""
     return f"{assignment.token}/resume"
 
 
-def advance(known: PlanInput, decision: Decision) -> None:
-    """Take every instance that is not simply serving one step further, if it is ready."""
-    for name, assignment in known.fleet.assignments.items():
-        listed = known.listed.get(name)
-        if name in known.missing:
-            _drop(known, decision, assignment)
+def advance_instances(plan_input: PlanInput, decision: Decision) -> None:
+    """Advance each instance that is not serving by one step, if it is ready for it."""
+    for name, assignment in plan_input.fleet.assignments.items():
+        listed = plan_input.listed.get(name)
+        if name in plan_input.missing:
+            _remove(plan_input, decision, assignment)
         elif assignment.state is not InstanceState.SERVING:
-            _step(known, decision, assignment, listed)
+            _advance_instance(plan_input, decision, assignment, listed)
         elif listed is not None:
             _check_serving(decision, assignment, listed)
 
@@ -54,8 +54,8 @@
     if listed.address != assignment.address:
         decision.assign(replace_fields(assignment, address=listed.address))
     if listed.drained:
-        # Somebody else drained it, perhaps a script not moved over yet: it is charged to
-        # the budget and left alone until an operator takes it back.
+        # Drained by something else, perhaps a script that was not migrated yet. It is charged
+        # to the budget and left alone until an operator resumes it.
         message = f"{assignment.instance} is drained, but not by this system"
         decision.findings.append(
             Finding(
@@ -66,53 +66,53 @@
         )
 
 
-def _step(
-    known: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
+def _advance_instance(
+    plan_input: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
 ) -> None:
     match assignment.state:
         case InstanceState.DRAINING:
-            _step_draining(known, decision, assignment, listed)
+            _advance_draining(plan_input, decision, assignment, listed)
         case InstanceState.MAINTAINING:
-            _step_maintaining(known, decision, assignment, listed)
+            _advance_maintaining(plan_input, decision, assignment, listed)
         case InstanceState.RETURNING:
-            _step_returning(known, decision, assignment, listed)
+            _advance_returning(plan_input, decision, assignment, listed)
 
 
-def _step_draining(
-    known: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
+def _advance_draining(
+    plan_input: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
 ) -> None:
     if assignment.reason is DrainReason.OPERATOR:
         return
-    # An entry that slept through the drain may still use its old table for a while; an
-    # instance changes pool only when every entry has heard of it or doubts its table.
+    # An entry that missed the drain may use its old routing table for a while, so an instance
+    # changes pool only when every entry has received the drain or treats its table as outdated.
     is_move = assignment.reason is DrainReason.MOVE
-    enough = known.settled if is_move else known.acknowledged
-    ordered = drain_token(assignment) in enough
-    if ordered and listed is not None and listed.drained:
-        _finish_drain(known, decision, assignment, listed)
-    elif _timed_out(known, assignment, known.settings.drain_timeout_s):
+    accepted = plan_input.propagated if is_move else plan_input.acknowledged
+    is_accepted = drain_token(assignment) in accepted
+    if is_accepted and listed is not None and listed.drained:
+        _finish_drain(plan_input, decision, assignment, listed)
+    elif _timed_out(plan_input, assignment, plan_input.settings.drain_timeout_s):
         returning = replace_fields(
-            assignment, state=InstanceState.RETURNING, next_pool="", since_ms=known.now_ms
+            assignment, state=InstanceState.RETURNING, next_pool="", since_ms=plan_input.now_ms
         )
         decision.assign(returning)
-        if _was_last_attempt(known, assignment):
-            _fail(known, decision, returning)
+        if _was_last_attempt(plan_input, assignment):
+            _mark_failed(plan_input, decision, returning)
 
 
 def _finish_drain(
-    known: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance
+    plan_input: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance
 ) -> None:
     match assignment.reason:
         case DrainReason.MOVE:
             pool = assignment.next_pool
-            if pool != SPARE_POOL and pool not in known.fleet.pools:
+            if pool != SPARE_POOL and pool not in plan_input.fleet.pools:
                 pool = SPARE_POOL
             moved = replace_fields(
                 assignment,
                 pool=pool,
                 next_pool="",
                 state=InstanceState.RETURNING,
-                since_ms=known.now_ms,
+                since_ms=plan_input.now_ms,
             )
             decision.assign(moved)
         case _:
@@ -120,34 +120,34 @@
                 assignment,
                 state=InstanceState.MAINTAINING,
                 boot=listed.boot,
-                since_ms=known.now_ms,
+                since_ms=plan_input.now_ms,
             )
             decision.assign(rebooting)
 
 
-def _step_maintaining(
-    known: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
+def _advance_maintaining(
+    plan_input: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
 ) -> None:
-    if _is_back(assignment, listed) and reboot_token(assignment) in known.acknowledged:
+    if _is_back(assignment, listed) and reboot_token(assignment) in plan_input.acknowledged:
         assert listed is not None
-        back = _serving(assignment, listed, known.now_ms)
-        progress = _progress(known, decision, assignment)
+        returned = _serving(assignment, listed, plan_input.now_ms)
+        progress = _progress(plan_input, decision, assignment)
         if progress is not None and assignment.outcome is not WaveOutcome.FAILED:
-            back.outcome = WaveOutcome.DONE
+            returned.outcome = WaveOutcome.DONE
             progress.done += 1
-        decision.assign(back)
-    elif _timed_out(known, assignment, known.settings.reboot_timeout_s):
-        # It stays charged until it is seen back; the wave goes on without it.
-        _fail(known, decision, assignment)
+        decision.assign(returned)
+    elif _timed_out(plan_input, assignment, plan_input.settings.reboot_timeout_s):
+        # It stays charged to the budget until it is listed again; the wave continues without it.
+        _mark_failed(plan_input, decision, assignment)
 
 
-def _step_returning(
-    known: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
+def _advance_returning(
+    plan_input: PlanInput, decision: Decision, assignment: Assignment, listed: ListedInstance | None
 ) -> None:
     if listed is None or listed.drained or listed.liveness is not Liveness.LIVE:
         return
-    if resume_token(assignment) in known.acknowledged:
-        decision.assign(_serving(assignment, listed, known.now_ms))
+    if resume_token(assignment) in plan_input.acknowledged:
+        decision.assign(_serving(assignment, listed, plan_input.now_ms))
 
 
 def _is_back(assignment: Assignment, listed: ListedInstance | None) -> bool:
@@ -168,45 +168,47 @@
     )
 
 
-def _drop(known: PlanInput, decision: Decision, assignment: Assignment) -> None:
+def _remove(plan_input: PlanInput, decision: Decision, assignment: Assignment) -> None:
     decision.assign(Assignment(instance=assignment.instance, removed=True))
-    _count_failure(known, decision, assignment)
+    _count_failure(plan_input, decision, assignment)
 
 
-def _timed_out(known: PlanInput, assignment: Assignment, limit_s: float) -> bool:
-    return known.now_ms - assignment.since_ms > limit_s * MS
+def _timed_out(plan_input: PlanInput, assignment: Assignment, limit_s: float) -> bool:
+    return plan_input.now_ms - assignment.since_ms > limit_s * MS_PER_S
 
 
-def _was_last_attempt(known: PlanInput, assignment: Assignment) -> bool:
-    wave = known.fleet.waves.get(WaveId(assignment.wave))
+def _was_last_attempt(plan_input: PlanInput, assignment: Assignment) -> bool:
+    wave = plan_input.fleet.waves.get(WaveId(assignment.wave))
     return wave is not None and assignment.attempt >= wave.attempts
 
 
-def _fail(known: PlanInput, decision: Decision, assignment: Assignment) -> None:
-    """Give an instance up for its wave, once."""
-    if _count_failure(known, decision, assignment):
+def _mark_failed(plan_input: PlanInput, decision: Decision, assignment: Assignment) -> None:
+    """Mark an instance as failed for its wave, unless it already has an outcome."""
+    if _count_failure(plan_input, decision, assignment):
         decision.assign(replace_fields(assignment, outcome=WaveOutcome.FAILED))
 
 
-def _count_failure(known: PlanInput, decision: Decision, assignment: Assignment) -> bool:
-    """Count an instance that its wave gives up, once; return whether it counts.
+def _count_failure(plan_input: PlanInput, decision: Decision, assignment: Assignment) -> bool:
+    """Count an instance as failed in its wave, once; return whether it was counted.
 
-    One that has counted leaves the wave's row out of the decision: an unchanged row is a record
-    like any other, wakes the planner at once and made it append 100 records a second.
+    If it wasn't, the wave's row stays out of the decision: an unchanged row would still be a log
+    record that starts the next round at once, which made the planner append 100 records a second.
     """
     if assignment.outcome is not WaveOutcome.UNSPECIFIED:
         return False
-    progress = _progress(known, decision, assignment)
+    progress = _progress(plan_input, decision, assignment)
     if progress is None:
         return False
     progress.failed += 1
     return True
 
 
-def _progress(known: PlanInput, decision: Decision, assignment: Assignment) -> WaveProgress | None:
-    """Return the progress of an instance's wave, as a row of the decision."""
+def _progress(
+    plan_input: PlanInput, decision: Decision, assignment: Assignment
+) -> WaveProgress | None:
+    """Return the decision's row of an instance's wave, or None outside the wave's current run."""
     wave = WaveId(assignment.wave)
-    current = known.fleet.progress.get(wave)
+    current = plan_input.fleet.progress.get(wave)
     if assignment.reason is not DrainReason.WAVE or current is None:
         return None
     if current.run != assignment.wave_run:
--- a/pumicespur/planning/_planner.py
+++ b/pumicespur/planning/_planner.py
@@ -1,4 +1,4 @@
-"""The planner: round after round of look, decide, commit, carry out."""
+"""The planner's control loop: read the fleet, decide, commit, send orders."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from logbook import Logger
 
 from pumicespur.planning._decision import decide
-from pumicespur.planning._effects import Effects
+from pumicespur.planning._order_dispatch import OrderDispatcher
 from pumicespur.planning._round import Decision, PlanInput
-from pumicespur.planning._usage import UsageBook, own_tasks
+from pumicespur.planning._usage import UsageTracker, own_tasks
 from pumicespur.schema.fleet_pb import InstanceState, Record
 from pumicespur.store import Conflict, Listing
 from pumicespur.utils import monotonic, now_ms
@@ -30,23 +30,23 @@
 log = Logger(__name__)
 
 MAX_LIST_AGE_S = 15.0
-"""With an older list nothing new is decided."""
+"""Max age of the list of instances by which new decisions are made."""
 
-MAX_SEEN_AGE_S = 0.5
-"""How old a list may be for an operator's call."""
+MAX_OPERATOR_LIST_AGE_S = 0.5
+"""Max age of the list of instances for an operator's request."""
 
-IDLE_LIST_AGE_S = 5.0
-"""How often a manager fetches the list that does not hold the lease."""
+STANDBY_LIST_INTERVAL_S = 5.0
+"""Interval at which a manager without the lease fetches the list of instances."""
 
-USAGE_AGE_S = 2.0
-"""How often the planner fetches what tasks use."""
+USAGE_INTERVAL_S = 2.0
+"""Interval at which the planner fetches the resource usage of tasks."""
 
-MAX_IDLE_S = 5.0
-"""How often a round runs although nothing has changed: waves have windows."""
+MAX_IDLE_INTERVAL_S = 5.0
+"""Max interval between rounds while nothing changes; waves depend on the time of day."""
 
 
 class Planner:
-    """Plans while this process holds the lease; only watches otherwise."""
+    """Planner, which decides only while this process holds the planner's lease."""
 
     def __init__(
         self,
@@ -61,14 +61,14 @@
         self.replica = replica
         self.lease = lease
         self.retention = retention
-        self.effects = Effects(platform)
+        self.dispatcher = OrderDispatcher(platform)
         self.listing = Listing({}, float("-inf"))
         self.findings: list[Finding] = []
         self.rounds = 0
         self.decide_s = 0.0
-        self.usage = UsageBook()
-        # The newest report of running tasks, until it was acted upon.
-        self.reported: list[TaskUsage] = []
+        self.usage = UsageTracker()
+        # The newest report on this system's tasks, until it has been processed.
+        self.reported_tasks: list[TaskUsage] = []
         self._usage_at = float("-inf")
         self._missing_since: dict[InstanceId, float] = {}
         self._saved_revision = 0
@@ -78,20 +78,20 @@
         self._idle_instances: Mapping[str, ListedInstance] = {}
 
     async def run(self) -> None:
-        """Plan a round at every tick, and at once when the state changes."""
+        """Run a round at every tick, and at once when the state changes."""
         while True:
             changed = self.replica.changed
-            await self.observe(self.settings.tick_s if self.lease.held else IDLE_LIST_AGE_S)
+            await self.observe(self.settings.tick_s if self.lease.held else STANDBY_LIST_INTERVAL_S)
             if self.lease.held:
                 await self._round()
             else:
-                self.effects = Effects(self.platform)
+                self.dispatcher = OrderDispatcher(self.platform)
                 self._missing_since.clear()
             with anyio.move_on_after(self.settings.tick_s):
                 await changed.wait()
 
-    async def observe(self, max_age_s: float = MAX_SEEN_AGE_S) -> None:
-        """Fetch the platform's list unless it was fetched a moment ago."""
+    async def observe(self, max_age_s: float = MAX_OPERATOR_LIST_AGE_S) -> None:
+        """Fetch the platform's list of instances, unless the current one is fresh enough."""
         if monotonic() - self._observed_at < max_age_s:
             return
         match await self.platform.list_instances():
@@ -103,12 +103,12 @@
             await self._observe_usage()
 
     async def _observe_usage(self) -> None:
-        if monotonic() - self._usage_at < USAGE_AGE_S:
+        if monotonic() - self._usage_at < USAGE_INTERVAL_S:
             return
         match await self.platform.list_usage():
             case Result(tag="ok", ok=listing):
-                self.reported = own_tasks(listing.tasks)
-                self.usage.observe(self.reported)
+                self.reported_tasks = own_tasks(listing.tasks)
+                self.usage.observe(self.reported_tasks)
                 self._usage_at = monotonic()
 
     def _note_missing(self) -> None:
@@ -117,53 +117,54 @@
         self._missing_since = {name: self._missing_since.get(name, now) for name in gone}
 
     async def _round(self) -> None:
-        """Decide, commit and carry out; stop at the first step that fails."""
+        """Decide, commit and send orders; stop at the first step that fails."""
         if monotonic() - self.listing.seen_at > MAX_LIST_AGE_S:
             return
-        if self._is_quiet():
-            # Orders that the platform did not take before are given again all the same.
-            await self._carry_out()
+        if self._is_unchanged():
+            # Orders that the platform has not accepted yet are still sent again.
+            await self._dispatch_orders()
             return
         self.rounds += 1
-        answer = await self.replica.append(self._build, [self.lease.fence()])
-        match answer:
+        response = await self.replica.append(self._build_record, [self.lease.fence()])
+        match response:
             case Result(tag="ok"):
-                # Each report of a failed task is acted upon once; the next may lag.
-                self.usage.failed_now = frozenset()
-                await self._carry_out()
+                # Each report of a failed task is processed once, since later reports lag behind and
+                # may repeat it.
+                self.usage.newly_failed = frozenset()
+                await self._dispatch_orders()
                 await self._save_snapshot()
             case Result(error=Conflict()):
                 self.lease.lose()
-            case Result(error=fault):
-                log.warning("decision not committed", epoch=self.lease.epoch, fault=str(fault))
+            case Result(error=error):
+                log.warning("decision not committed", epoch=self.lease.epoch, fault=str(error))
 
-    async def _carry_out(self) -> None:
-        reported, self.reported = self.reported, []
-        await self.effects.carry_out(self.replica.fleet, reported)
+    async def _dispatch_orders(self) -> None:
+        reported, self.reported_tasks = self.reported_tasks, []
+        await self.dispatcher.dispatch(self.replica.fleet, reported)
 
-    def _is_quiet(self) -> bool:
-        """Tell whether a round would decide nothing, like the one before it.
+    def _is_unchanged(self) -> bool:
+        """Whether a round would decide nothing, like the previous one.
 
-        Nothing is under way and nothing that decisions look at has changed, but for the
-        time of day, for which a round runs now and then.
+        That is so if no change is in progress and no input of the decisions has changed, except
+        the time of day, for which a round runs every `MAX_IDLE_INTERVAL_S`.
         """
-        if monotonic() - self._idle_since > MAX_IDLE_S:
+        if monotonic() - self._idle_since > MAX_IDLE_INTERVAL_S:
             return False
         return (
             self.replica.revision == self._idle_revision
-            and not self.usage.failed_now
+            and not self.usage.newly_failed
             and self.listing.instances == self._idle_instances
         )
 
     def _note_idle(self, fleet: Fleet, decision: Decision) -> None:
-        """Remember what was looked at when nothing was decided and nothing is under way."""
+        """Remember the input of a round that decided nothing while no change is in progress."""
         busy = any(a.state is not InstanceState.SERVING for a in fleet.assignments.values())
         if decision.record() is None and not busy and not self._missing_since:
             self._idle_since = monotonic()
             self._idle_revision = fleet.revision
             self._idle_instances = self.listing.instances
 
-    def _build(self, fleet: Fleet) -> Record | None:
+    def _build_record(self, fleet: Fleet) -> Record | None:
         started = time.perf_counter()
         decision = self.decide(fleet)
         self.decide_s = time.perf_counter() - started
@@ -176,28 +177,30 @@
         return record
 
     def decide(self, fleet: Fleet) -> Decision:
-        """Decide a round on the newest list."""
-        known = PlanInput(
+        """Decide one round by the newest list of instances."""
+        plan_input = PlanInput(
             fleet=fleet,
             listed=self.listing.instances,
-            acknowledged=self.effects.taken_before(self.listing.seen_at),
-            settled=self.effects.taken_before(self.listing.seen_at - self.settings.move_settle_s),
-            missing=self._missing(fleet),
+            acknowledged=self.dispatcher.accepted_before(self.listing.seen_at),
+            propagated=self.dispatcher.accepted_before(
+                self.listing.seen_at - self.settings.move_settle_s
+            ),
+            missing=self._missing_instances(fleet),
             now_ms=now_ms(),
             settings=self.settings,
             usage=self.usage,
         )
-        return decide(known)
+        return decide(plan_input)
 
-    def _missing(self, fleet: Fleet) -> frozenset[InstanceId]:
+    def _missing_instances(self, fleet: Fleet) -> frozenset[InstanceId]:
         now = monotonic()
         found = set()
         for name, since in self._missing_since.items():
             assignment = fleet.assignments.get(name)
-            limit = self.settings.missing_s
+            limit_s = self.settings.missing_s
             if assignment and assignment.state is InstanceState.MAINTAINING:
-                limit += self.settings.reboot_timeout_s
-            if now - since > limit:
+                limit_s += self.settings.reboot_timeout_s
+            if now - since > limit_s:
                 found.add(name)
         return frozenset(found)
 
--- a/pumicespur/planning/_round.py
+++ b/pumicespur/planning/_round.py
@@ -1,11 +1,11 @@
-"""What a planning round knows and what it decides; shared by all its steps."""
+"""Input and output of a planning round, shared by all its steps."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from pumicespur.planning._usage import UsageBook
+from pumicespur.planning._usage import UsageTracker
 from pumicespur.schema.fleet_pb import Assignment, Placement, Record, WaveProgress
 from pumicespur.structure import Fleet, InstanceId, TaskId, WaveId, task_id
 
@@ -19,24 +19,25 @@
 
 @dataclass
 class PlanInput:
-    """What a round knows: the state, the platform's list and the orders it has taken."""
+    """Input of a round: the state, the platform's list and the orders that it accepted."""
 
     fleet: Fleet
     listed: Mapping[str, ListedInstance]
-    # Tokens of orders that the platform took before the list was made.
+    # Tokens of orders that the platform accepted before it made the list.
     acknowledged: frozenset[str]
-    # Tokens of drain orders taken long enough ago for an instance to change pool.
-    settled: frozenset[str]
-    # Instances that have been out of the list for too long.
+    # Tokens of drain orders accepted so long ago that every entry has received the drain, or treats
+    # its routing table as outdated; only then may an instance change pool.
+    propagated: frozenset[str]
+    # Instances that have been absent from the list for too long.
     missing: frozenset[InstanceId]
     now_ms: int
     settings: ManagerSettings
-    usage: UsageBook = field(default_factory=UsageBook)
+    usage: UsageTracker = field(default_factory=UsageTracker)
 
 
 @dataclass
 class Decision:
-    """The rows that a round wants to change, the newest for each key, and its findings."""
+    """Rows that a round changes, the newest for each key, and its findings for operators."""
 
     assignments: dict[InstanceId, Assignment] = field(default_factory=dict)
     placements: dict[TaskId, Placement] = field(default_factory=dict)
@@ -44,16 +45,16 @@
     findings: list[Finding] = field(default_factory=list)
 
     def assign(self, assignment: Assignment) -> None:
-        """Decide an instance's place."""
+        """Set the assignment of an instance."""
         self.assignments[InstanceId(assignment.instance)] = assignment
 
     def place(self, placements: Iterable[Placement]) -> None:
-        """Decide tasks' places."""
+        """Set placements of tasks."""
         for placement in placements:
             self.placements[task_id(placement.job, placement.index)] = placement
 
     def record(self) -> Record | None:
-        """Return the log record of the decision, None if it changes nothing."""
+        """Return the log record of the decision, or None if it changes nothing."""
         if not (self.assignments or self.placements or self.waves):
             return None
         return Record(
--- a/pumicespur/planning/_usage.py
+++ b/pumicespur/planning/_usage.py
@@ -1,9 +1,8 @@
-"""What tasks were seen to use and how they ended, from the platform's lagging reports.
+"""Resource usage and failures of tasks, from the platform's reports, which lag behind.
 
-Declared sizes are far off, and some instances fail everything they start (the brief). So
-a job's tasks are placed by the larger of what is declared and what was seen; a failed
-task is placed again elsewhere; and an instance on which several tasks failed and none
-runs gets no new ones.
+Declared sizes can be far off, and some instances fail every task they start. A job's tasks are
+therefore placed by the larger of the declared and the reported usage, a failed task is placed on
+another instance, and an instance on which several tasks failed and none runs gets no new tasks.
 """
 
 from __future__ import annotations
@@ -22,19 +21,19 @@
     from pumicespur.schema.platform_pb import TaskUsage
 
 TASK_PREFIX = "pumicespur/"
-"""Starts the platform's name of every task of this system. Others are not ours to stop."""
+"""Prefix of this system's tasks in the platform's task names. Other tasks must not be stopped."""
 
-FAILURES_TO_AVOID = 3
-"""Tasks that must have failed on an instance before it is avoided."""
+MIN_FAILURES_TO_AVOID = 3
+"""Number of tasks that must have failed on an instance before it gets no new ones."""
 
 
-def platform_name(task: str) -> str:
-    """Return the name by which the platform knows a task."""
+def platform_task_name(task: str) -> str:
+    """Return the name of a task on the platform."""
     return TASK_PREFIX + task
 
 
 def own_tasks(reported: Iterable[TaskUsage]) -> list[TaskUsage]:
-    """Return the reports of this system's tasks, by their own names."""
+    """Return the reports on this system's tasks, with the platform's prefix removed."""
     return [
         replace_fields(usage, task=usage.task.removeprefix(TASK_PREFIX))
         for usage in reported
@@ -43,15 +42,15 @@
 
 
 @dataclass
-class UsageBook:
-    """Keeps the largest use seen of each job, and failures by instance."""
+class UsageTracker:
+    """Max reported usage of each job, and failed tasks by instance."""
 
-    largest: dict[JobId, Resources] = field(default_factory=dict)
+    max_used: dict[JobId, Resources] = field(default_factory=dict)
     failures: defaultdict[InstanceId, set[TaskId]] = field(default_factory=lambda: defaultdict(set))
-    failed_now: frozenset[tuple[TaskId, InstanceId]] = frozenset()
+    newly_failed: frozenset[tuple[TaskId, InstanceId]] = frozenset()
 
     def observe(self, tasks: Iterable[TaskUsage]) -> None:
-        """Take in one report."""
+        """Apply one report."""
         failed = set()
         for usage in tasks:
             task, instance = TaskId(usage.task), InstanceId(usage.instance)
@@ -59,30 +58,30 @@
                 failed.add((task, instance))
                 self.failures[instance].add(task)
             else:
-                # One that runs shows that the instance can.
+                # A running task shows that the instance works.
                 self.failures.pop(instance, None)
             if usage.used is not None:
-                self._note_use(JobId(task.rpartition("/")[0]), usage.used)
-        self.failed_now = frozenset(failed)
+                self._note_usage(JobId(task.rpartition("/")[0]), usage.used)
+        self.newly_failed = frozenset(failed)
 
-    def _note_use(self, job: JobId, used: Resources) -> None:
-        self.largest[job] = _larger(self.largest.get(job, Resources()), used)
+    def _note_usage(self, job: JobId, used: Resources) -> None:
+        self.max_used[job] = _max_resources(self.max_used.get(job, Resources()), used)
 
     def needs(self, job: Job) -> Resources:
-        """Return what each task of a job needs: what is declared, or more if more was seen."""
+        """Return the resources for each task of a job: declared, or more if more was used."""
         declared = job.needs or Resources()
-        return _larger(declared, self.largest.get(JobId(job.id), Resources()))
+        return _max_resources(declared, self.max_used.get(JobId(job.id), Resources()))
 
     def has_failed(self, task: TaskId, instance: str) -> bool:
-        """Tell whether the newest report names a task as failed on an instance."""
-        return (task, InstanceId(instance)) in self.failed_now
+        """Whether the newest report names a task as failed on an instance."""
+        return (task, InstanceId(instance)) in self.newly_failed
 
     def is_avoided(self, instance: str) -> bool:
-        """Tell whether an instance gets no new tasks."""
-        return len(self.failures.get(InstanceId(instance), ())) >= FAILURES_TO_AVOID
+        """Whether an instance gets no new tasks because tasks fail on it."""
+        return len(self.failures.get(InstanceId(instance), ())) >= MIN_FAILURES_TO_AVOID
 
 
-def _larger(one: Resources, other: Resources) -> Resources:
+def _max_resources(one: Resources, other: Resources) -> Resources:
     return Resources(
         millicores=max(one.millicores, other.millicores),
         memory_mb=max(one.memory_mb, other.memory_mb),
--- a/pumicespur/planning/_waves.py
+++ b/pumicespur/planning/_waves.py
@@ -1,4 +1,4 @@
-"""Maintenance waves: which instances go down next."""
+"""Maintenance waves: choice of the instances that go down next."""
 
 from __future__ import annotations
 
@@ -22,43 +22,47 @@
     from pumicespur.planning._availability import Availability
     from pumicespur.planning._round import Decision, PlanInput
 
-MINUTE_MS = 60_000
-MINUTES_A_DAY = 24 * 60
+MS_PER_MINUTE = 60_000
+MINUTES_PER_DAY = 24 * 60
 
 
-def plan_waves(known: PlanInput, available: Availability, decision: Decision) -> None:
-    """Start what every running wave may start now, and end the waves that are done."""
-    for name, wave in known.fleet.waves.items():
-        progress = decision.waves.get(name, known.fleet.progress.get(name))
+def plan_waves(plan_input: PlanInput, available: Availability, decision: Decision) -> None:
+    """Start as many instances of each running wave as allowed, and end waves that are done."""
+    for name, wave in plan_input.fleet.waves.items():
+        progress = decision.waves.get(name, plan_input.fleet.progress.get(name))
         if progress is None or progress.phase is not WavePhase.RUNNING:
             continue
-        _plan_wave(known, available, decision, wave, progress)
+        _plan_wave(plan_input, available, decision, wave, progress)
 
 
 def _plan_wave(
-    known: PlanInput,
+    plan_input: PlanInput,
     available: Availability,
     decision: Decision,
     wave: Wave,
     progress: WaveProgress,
 ) -> None:
     if _failed_too_often(wave, progress):
-        _end(known, decision, progress, WavePhase.HALTED, f"{progress.failed} instances failed")
+        _end_wave(
+            plan_input, decision, progress, WavePhase.HALTED, f"{progress.failed} instances failed"
+        )
         return
-    members = [_newest(decision, a) for a in known.fleet.assignments.values()]
+    members = [_latest(decision, a) for a in plan_input.fleet.assignments.values()]
     members = [a for a in members if a.pool in wave.pools and not a.removed]
     waiting = [a for a in members if is_due(a, progress)]
-    busy = [a for a in waiting if _is_busy(a, progress)]
+    in_progress = [a for a in waiting if _is_in_progress(a, progress)]
     if not waiting:
-        _end(known, decision, progress, WavePhase.DONE, "")
-    elif in_window(wave, known.now_ms):
-        idle = [a for a in waiting if a.state is InstanceState.SERVING]
-        room = wave.max_parallel - len(busy)
-        _start(known, available, decision, wave, progress, idle, busy, room)
+        _end_wave(plan_input, decision, progress, WavePhase.DONE, "")
+    elif in_window(wave, plan_input.now_ms):
+        serving = [a for a in waiting if a.state is InstanceState.SERVING]
+        free_places = wave.max_parallel - len(in_progress)
+        _start_instances(
+            plan_input, available, decision, wave, progress, serving, in_progress, free_places
+        )
 
 
 def is_due(assignment: Assignment, progress: WaveProgress) -> bool:
-    """Tell whether a wave still has to maintain an instance."""
+    """Whether a wave still has to maintain an instance."""
     if assignment.wave != progress.wave or assignment.wave_run != progress.run:
         return True
     if assignment.outcome is WaveOutcome.FAILED:
@@ -66,35 +70,35 @@
     return assignment.outcome is not WaveOutcome.DONE
 
 
-def _start(
-    known: PlanInput,
+def _start_instances(
+    plan_input: PlanInput,
     available: Availability,
     decision: Decision,
     wave: Wave,
     progress: WaveProgress,
-    idle: list[Assignment],
-    busy: list[Assignment],
-    room: int,
+    serving: list[Assignment],
+    in_progress: list[Assignment],
+    free_places: int,
 ) -> None:
-    """Start as many as the budgets allow.
+    """Start the maintenance of as many instances as the budgets allow.
 
-    Instances next to others that are down go first: the same rack can be lost only once,
-    so keeping the down ones together leaves more room under a rack or data hall headroom.
+    Instances in racks with others that are down go first. A rack can be lost only once, so keeping
+    the instances that are down together leaves more capacity under a rack or data hall headroom.
     """
-    down = Counter((a.pool, a.rack) for a in busy)
-    order = sorted(idle, key=lambda a: (-down[a.pool, a.rack], a.data_hall, a.rack, a.instance))
+    down = Counter((a.pool, a.rack) for a in in_progress)
+    order = sorted(serving, key=lambda a: (-down[a.pool, a.rack], a.data_hall, a.rack, a.instance))
     for assignment in order:
-        if room <= 0:
+        if free_places <= 0:
             return
-        if available.may_take_down(assignment):
+        if available.can_take_down(assignment):
             available.take_down(assignment)
-            decision.assign(_draining(known, assignment, progress))
-            room -= 1
+            decision.assign(_draining(plan_input, assignment, progress))
+            free_places -= 1
 
 
-def _draining(known: PlanInput, assignment: Assignment, progress: WaveProgress) -> Assignment:
+def _draining(plan_input: PlanInput, assignment: Assignment, progress: WaveProgress) -> Assignment:
     same_run = assignment.wave == progress.wave and assignment.wave_run == progress.run
-    again = same_run and assignment.outcome is WaveOutcome.UNSPECIFIED
+    is_retry = same_run and assignment.outcome is WaveOutcome.UNSPECIFIED
     return replace_fields(
         assignment,
         state=InstanceState.DRAINING,
@@ -102,17 +106,17 @@
         wave=progress.wave,
         wave_run=progress.run,
         outcome=WaveOutcome.UNSPECIFIED,
-        attempt=assignment.attempt + 1 if again else 1,
+        attempt=assignment.attempt + 1 if is_retry else 1,
         token=uuid.uuid4().hex,
-        since_ms=known.now_ms,
+        since_ms=plan_input.now_ms,
     )
 
 
-def _newest(decision: Decision, assignment: Assignment) -> Assignment:
+def _latest(decision: Decision, assignment: Assignment) -> Assignment:
     return decision.assignments.get(InstanceId(assignment.instance), assignment)
 
 
-def _is_busy(assignment: Assignment, progress: WaveProgress) -> bool:
+def _is_in_progress(assignment: Assignment, progress: WaveProgress) -> bool:
     return assignment.state is not InstanceState.SERVING and assignment.wave == progress.wave
 
 
@@ -121,9 +125,9 @@
 
 
 def in_window(wave: Wave, now_ms: int) -> bool:
-    """Tell whether the wave may start instances at this time of day (UTC)."""
+    """Whether the wave may start instances at this time of day (UTC)."""
     start, end = wave.window_start_minute, wave.window_end_minute
-    minute = now_ms // MINUTE_MS % MINUTES_A_DAY
+    minute = now_ms // MS_PER_MINUTE % MINUTES_PER_DAY
     if start == end:
         return True
     if start < end:
@@ -131,9 +135,9 @@
     return minute >= start or minute < end
 
 
-def _end(
-    known: PlanInput, decision: Decision, progress: WaveProgress, phase: WavePhase, reason: str
+def _end_wave(
+    plan_input: PlanInput, decision: Decision, progress: WaveProgress, phase: WavePhase, reason: str
 ) -> None:
     decision.waves[WaveId(progress.wave)] = replace_fields(
-        progress, phase=phase, reason=reason, ended_ms=known.now_ms
+        progress, phase=phase, reason=reason, ended_ms=plan_input.now_ms
     )
--- a/standins/model.py
+++ b/standins/model.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from pumicespur.planning import Decision, PlanInput, UsageBook, decide
+from pumicespur.planning import Decision, PlanInput, UsageTracker, decide
 from pumicespur.schema.fleet_pb import Assignment, InstanceState, Resources, WavePhase, WaveProgress
 from pumicespur.schema.platform_pb import ListedInstance, Liveness
 from pumicespur.schema.settings_pb import ManagerSettings
@@ -53,7 +53,7 @@
     taken: set[str] = field(default_factory=set)
     missing: dict[str, int] = field(default_factory=dict)
     never_back: set[str] = field(default_factory=set)
-    usage: UsageBook = field(default_factory=UsageBook)
+    usage: UsageTracker = field(default_factory=UsageTracker)
     last: Decision = field(default_factory=Decision)
 
     def add(self, name: str, rack: str, hall: str, pool: str = "", millicores: int = 16000) -> None:
@@ -142,7 +142,7 @@
             fleet=self.fleet,
             listed=listed,
             acknowledged=frozenset(self.taken),
-            settled=frozenset(self.taken),
+            propagated=frozenset(self.taken),
             missing=frozenset(missing),
             now_ms=START_MS + self.round * ROUND_MS,
             settings=self.settings,
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -1,4 +1,4 @@
-"""Naive versions of the decisions, written for plainness, to compare the real ones with."""
+"""Naive reference versions of the decisions, to compare the real ones with."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.planning import Decision, in_window
-from pumicespur.planning._lifecycle import advance
+from pumicespur.planning._lifecycle import advance_instances
 from pumicespur.planning._waves import is_due
 from pumicespur.schema.fleet_pb import (
     DrainReason,
@@ -31,7 +31,7 @@
 def naive_available(
     fleet: Fleet, listed: Mapping[str, ListedInstance], pool: str
 ) -> list[Assignment]:
-    """List a pool's available instances by looking at each."""
+    """Return a pool's available instances by checking each one."""
     return [
         a
         for a in fleet.assignments.values()
@@ -46,7 +46,7 @@
 def naive_may_take_down(
     fleet: Fleet, listed: Mapping[str, ListedInstance], pool: Pool, instance: str
 ) -> bool:
-    """Try every loss that the headroom names, one after the other."""
+    """Try each loss that the headroom covers, one after the other."""
     left = [a for a in naive_available(fleet, listed, pool.id) if a.instance != instance]
     if len(left) == len(naive_available(fleet, listed, pool.id)):
         return True
@@ -61,19 +61,23 @@
     return all(len(left) - len(loss) >= minimum_available(pool) for loss in losses)
 
 
-def naive_decide(known: PlanInput) -> Decision:
+def naive_decide(plan_input: PlanInput) -> Decision:
     """Maintain one instance of a wave at a time, as a simple script does."""
     decision = Decision()
-    advance(known, decision)
-    for name, wave in known.fleet.waves.items():
-        progress = decision.waves.get(name, known.fleet.progress.get(name))
+    advance_instances(plan_input, decision)
+    for name, wave in plan_input.fleet.waves.items():
+        progress = decision.waves.get(name, plan_input.fleet.progress.get(name))
         if progress is None or progress.phase is not WavePhase.RUNNING:
             continue
-        newest = [decision.assignments.get(key, a) for key, a in known.fleet.assignments.items()]
+        newest = [
+            decision.assignments.get(key, a) for key, a in plan_input.fleet.assignments.items()
+        ]
         due = [a for a in newest if a.pool in wave.pools and is_due(a, progress)]
         if not due:
             decision.waves[name] = replace_fields(progress, phase=WavePhase.DONE)
-        elif all(a.state is InstanceState.SERVING for a in due) and in_window(wave, known.now_ms):
+        elif all(a.state is InstanceState.SERVING for a in due) and in_window(
+            wave, plan_input.now_ms
+        ):
             decision.assign(
                 replace_fields(
                     due[0],
@@ -84,14 +88,14 @@
                     outcome=WaveOutcome.UNSPECIFIED,
                     attempt=1,
                     token=uuid.uuid4().hex,
-                    since_ms=known.now_ms,
+                    since_ms=plan_input.now_ms,
                 )
             )
     return decision
 
 
 def naive_fits(jobs: Sequence[Job], hosts: Sequence[int]) -> bool:
-    """Tell whether every task fits somewhere, by trying every way (small cases only)."""
+    """Whether all tasks fit, by trying every assignment (small cases only)."""
     sizes = [job.needs.millicores for job in jobs if job.needs for _ in range(job.tasks)]
 
     def place(index: int, free: list[int]) -> bool:
--- a/tests/test_effects.py
+++ b/tests/test_order_dispatch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pumicespur.planning import Effects, own_tasks
+from pumicespur.planning import OrderDispatcher, own_tasks
 from pumicespur.schema.fleet_pb import Job, Placement, Resources
 from pumicespur.schema.platform_pb import ListedInstance, Liveness, TaskRequest, TaskUsage
 from pumicespur.structure import Fleet, JobId, TaskId
@@ -35,39 +35,39 @@
         self.fleet.placements[TaskId("j/0")] = placement
 
     async def test_a_task_follows_its_placement(self) -> None:
-        effects = Effects(self.platform)
+        dispatcher = OrderDispatcher(self.platform)
         for attempt, instance in enumerate(("a", "b", "a"), start=1):
             self.place(instance, attempt)
-            await effects.carry_out(self.fleet)
+            await dispatcher.dispatch(self.fleet)
             self.assertEqual(await self.running(), [("j/0", instance)])
 
     async def test_a_new_planner_stops_what_the_former_one_left_behind(self) -> None:
         """The former planner died between the record of a move and the stop order."""
         self.place("a", 1)
-        await Effects(self.platform).carry_out(self.fleet)
+        await OrderDispatcher(self.platform).dispatch(self.fleet)
         self.place("b", 2)
-        await Effects(self.platform).carry_out(self.fleet, await self.reported())
+        await OrderDispatcher(self.platform).dispatch(self.fleet, await self.reported())
         self.assertEqual(await self.running(), [("j/0", "b")])
 
     async def test_a_task_of_a_removed_job_is_stopped(self) -> None:
         self.place("a", 1)
-        await Effects(self.platform).carry_out(self.fleet)
+        await OrderDispatcher(self.platform).dispatch(self.fleet)
         self.fleet.placements.clear()
         self.fleet.jobs.clear()
-        await Effects(self.platform).carry_out(self.fleet, await self.reported())
+        await OrderDispatcher(self.platform).dispatch(self.fleet, await self.reported())
         self.assertEqual(await self.running(), [])
 
     async def test_a_task_that_a_script_started_is_left_alone(self) -> None:
         script = TaskRequest(instance="a", task="nightly/0", token="script")
         await self.platform.run_task(script)
-        await Effects(self.platform).carry_out(self.fleet, await self.reported())
+        await OrderDispatcher(self.platform).dispatch(self.fleet, await self.reported())
         tasks = (await self.platform.list_usage()).ok.tasks
         self.assertEqual([usage.task for usage in tasks], ["nightly/0"])
 
     async def test_a_repeated_start_runs_nothing_twice(self) -> None:
         self.place("a", 1)
         for _ in range(2):
-            await Effects(self.platform).carry_out(self.fleet)
+            await OrderDispatcher(self.platform).dispatch(self.fleet)
         request = TaskRequest(instance="a", task="j/0", token="j/0/1/a/start")
         await self.platform.run_task(request)
         history = await self.orders.history()
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -65,7 +65,7 @@
         pool = model.fleet.pools[PoolId(assignment.pool)]
         listed = model.listed()
         self.assertEqual(
-            Availability(model.fleet, listed).may_take_down(assignment),
+            Availability(model.fleet, listed).can_take_down(assignment),
             naive_may_take_down(model.fleet, listed, pool, name),
         )
         counted = Availability(model.fleet, listed).pools[PoolId(pool.id)].available
