--- a/pumicespur/planning/_availability.py
+++ b/pumicespur/planning/_availability.py
@@ -1,8 +1,8 @@
 """How many instances of each pool are available, and how many more may go down.
 
 An instance is available if its assignment is to serve and the platform lists it as live and not
-drained. Every other instance is charged to the budget, whether it is down by plan or not, and
-whatever the cause.
+drained. Every other instance is charged to the budget, whether its downtime is planned or not and
+whether its cause is known or not.
 """
 
 from __future__ import annotations
@@ -90,9 +90,9 @@
         if pool is None or assignment.instance not in self.available:
             return True
         pool.add(assignment, -1)
-        is_kept = pool.available - pool.max_single_loss() >= pool.minimum
+        is_budget_kept = pool.available - pool.max_single_loss() >= pool.minimum
         pool.add(assignment, 1)
-        return is_kept
+        return is_budget_kept
 
     def take_down(self, assignment: Assignment) -> None:
         """Charge the budget with an instance that a decision takes down."""
--- a/pumicespur/planning/_lifecycle.py
+++ b/pumicespur/planning/_lifecycle.py
@@ -39,7 +39,7 @@
 
 
 def advance_instances(plan_input: PlanInput, decision: Decision) -> None:
-    """Advance each instance that is not serving by one step, if it is ready for it."""
+    """Remove missing instances, advance those that are not serving, and check the serving ones."""
     for name, assignment in plan_input.fleet.assignments.items():
         listed = plan_input.listed.get(name)
         if name in plan_input.missing:
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -101,8 +101,8 @@
     def place(index: int, free: list[int]) -> bool:
         if index == len(sizes):
             return True
-        for host, room in enumerate(free):
-            if room >= sizes[index]:
+        for host, free_millicores in enumerate(free):
+            if free_millicores >= sizes[index]:
                 after = [*free]
                 after[host] -= sizes[index]
                 if place(index + 1, after):
--- a/tests/test_order_dispatch.py
+++ b/tests/test_order_dispatch.py
@@ -1,4 +1,4 @@
-"""Tests of carrying decisions out against the platform stand-in."""
+"""Tests of the dispatch of orders against the platform stand-in."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TestTasks(PlatformCase):
-    """A task runs where the log says and nowhere else."""
+    """A task runs on the instance where it is placed and nowhere else."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -41,8 +41,8 @@
             await dispatcher.dispatch(self.fleet)
             self.assertEqual(await self.running(), [("j/0", instance)])
 
-    async def test_a_new_planner_stops_what_the_former_one_left_behind(self) -> None:
-        """The former planner died between the record of a move and the stop order."""
+    async def test_a_new_planner_stops_tasks_that_the_former_one_left_running(self) -> None:
+        """The former planner crashed between the commit of a move and the stop order."""
         self.place("a", 1)
         await OrderDispatcher(self.platform).dispatch(self.fleet)
         self.place("b", 2)
@@ -57,14 +57,14 @@
         await OrderDispatcher(self.platform).dispatch(self.fleet, await self.reported())
         self.assertEqual(await self.running(), [])
 
-    async def test_a_task_that_a_script_started_is_left_alone(self) -> None:
+    async def test_a_task_that_a_script_started_is_not_stopped(self) -> None:
         script = TaskRequest(instance="a", task="nightly/0", token="script")
         await self.platform.run_task(script)
         await OrderDispatcher(self.platform).dispatch(self.fleet, await self.reported())
         tasks = (await self.platform.list_usage()).ok.tasks
         self.assertEqual([usage.task for usage in tasks], ["nightly/0"])
 
-    async def test_a_repeated_start_runs_nothing_twice(self) -> None:
+    async def test_a_repeated_start_order_starts_the_task_once(self) -> None:
         self.place("a", 1)
         for _ in range(2):
             await OrderDispatcher(self.platform).dispatch(self.fleet)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions, against naive versions and under losses at any moment."""
+"""Tests of the planner's decisions, against naive versions and under losses at any time."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 
 
 class TestAvailability(unittest.TestCase):
-    """Budgets are judged as by trying every loss."""
+    """The budget check gives the same result as trying every loss."""
 
     @given(pools_and_sizes(), st.integers(1, 5), st.sets(st.integers(0, 23)), st.integers(0, 23))
-    def test_taking_down_is_judged_as_the_naive_version_does(
+    def test_can_take_down_agrees_with_the_naive_version(
         self, pools: list[tuple[Pool, int]], racks: int, dead: set[int], chosen: int
     ) -> None:
         model = build(pools, racks=racks)
@@ -73,11 +73,11 @@
 
 
 class TestWaves(unittest.TestCase):
-    """Waves keep every budget and finish."""
+    """Waves keep all availability budgets and finish."""
 
     @settings(max_examples=60, deadline=None)
     @given(pools_and_sizes(), st.integers(1, 5), st.integers(1, 6))
-    def test_no_budget_breaks_while_a_wave_runs(
+    def test_all_budgets_are_kept_while_a_wave_runs(
         self, pools: list[tuple[Pool, int]], racks: int, parallel: int
     ) -> None:
         model = build(pools, racks=racks)
@@ -86,12 +86,12 @@
         for _ in model.run(60):
             for pool, _size in pools:
                 self.assertGreaterEqual(model.in_service(pool), pool.min_available)
-            busy = Counter(a.state for a in model.fleet.assignments.values())
-            self.assertLessEqual(len(model.instances) - busy[InstanceState.SERVING], parallel)
+            states = Counter(a.state for a in model.fleet.assignments.values())
+            self.assertLessEqual(len(model.instances) - states[InstanceState.SERVING], parallel)
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 40), st.integers(0, 3), st.integers(2, 8), st.booleans())
-    def test_headroom_keeps_the_budget_when_a_rack_is_lost_at_any_moment(
+    def test_headroom_keeps_the_budget_when_a_rack_or_data_hall_is_lost_at_any_time(
         self, moment: int, lost_rack: int, minimum: int, whole_hall: bool
     ) -> None:
         domain = FailureDomain.DATA_HALL if whole_hall else FailureDomain.RACK
@@ -107,7 +107,8 @@
             same_hall = whole_hall and number % 2 == lost_rack % 2
             instance.dead = instance.dead or number == lost_rack or same_hall
         lost = 12 // 2 if whole_hall else 12 // 4
-        # At full strength the budget may leave no room for the loss; then nothing was down.
+        # With all 12 instances up the budget may leave no capacity for the loss. The wave has then
+        # taken nothing down, and the loss alone breaks the budget.
         if before < 12 or minimum + lost <= 12:
             self.assertGreaterEqual(model.in_service(pool), minimum)
         self.assertGreaterEqual(before, min(12, minimum))
@@ -117,12 +118,14 @@
     def test_a_wave_is_never_slower_than_the_naive_one(
         self, pools: list[tuple[Pool, int]], racks: int
     ) -> None:
-        roomy = [(make_pool(pool.id, size, max(0, size - 1)), size) for pool, size in pools]
-        rounds = run_wave(build(roomy, racks=racks))
-        naive_rounds = run_wave(build(roomy, racks=racks, decide=naive_decide))
+        pools_with_buffer = [
+            (make_pool(pool.id, size, max(0, size - 1)), size) for pool, size in pools
+        ]
+        rounds = run_wave(build(pools_with_buffer, racks=racks))
+        naive_rounds = run_wave(build(pools_with_buffer, racks=racks, decide=naive_decide))
         self.assertLessEqual(rounds, naive_rounds)
 
-    def test_a_wave_halts_when_too_many_do_not_come_back(self) -> None:
+    def test_a_wave_halts_when_too_many_instances_do_not_return(self) -> None:
         model = build([(make_pool("p", 10, 2), 10)])
         model.never_back = set(model.instances)
         run_wave(model, parallel=2)
@@ -131,7 +134,7 @@
         self.assertEqual(progress.failed, 2)
         self.assertIn("failed", progress.reason)
 
-    def test_one_failure_under_the_share_does_not_halt(self) -> None:
+    def test_failures_below_the_halt_share_do_not_halt(self) -> None:
         model = build([(make_pool("p", 10, 2), 10)])
         model.never_back = {"i9"}
         run_wave(model, parallel=2)
@@ -139,9 +142,9 @@
         self.assertIs(progress.phase, WavePhase.DONE)
         self.assertEqual((progress.done, progress.failed), (9, 1))
 
-    def test_an_instance_that_has_failed_is_recorded_once(self) -> None:
-        # After half of a pool was lost in a wave, the planner appended the wave's unchanged row a
-        # hundred times a second; 200 records later the first ones of the log were gone.
+    def test_a_failed_instance_is_recorded_once(self) -> None:
+        # After the loss of half a pool in a wave, the planner appended the wave's unchanged row 100
+        # times a second, so that the oldest records were removed from the log after 200 records.
         wave = make_wave("p", parallel=1)
         wave.halt_share = 1.0
         model = build([(make_pool("p", 4, 3), 4)])
@@ -151,12 +154,12 @@
         while not model.fleet.progress[WaveId("wave")].failed and model.round < ROUNDS:
             model.step()
         records = [record for _ in range(20) if (record := model.step())]
-        # The instance may be given up as a member meanwhile.
+        # One record may remain: the removal of the instance from the fleet.
         self.assertLessEqual(len(records), 1)
         progress = model.fleet.progress[WaveId("wave")]
         self.assertEqual((WavePhase.RUNNING, 1), (progress.phase, progress.failed))
 
-    def test_windows(self) -> None:
+    def test_time_windows(self) -> None:
         cases = [
             (0, 0, 700, True),
             (60, 120, 60, True),
@@ -171,9 +174,9 @@
 
 
 class TestMoves(unittest.TestCase):
-    """Pools are filled with few moves, and every instance is in one pool."""
+    """Pools are filled with few moves, and every instance belongs to one pool."""
 
-    def test_a_short_pool_takes_spare_instances_and_drains_nobody(self) -> None:
+    def test_a_short_pool_takes_spare_instances_without_a_drain(self) -> None:
         model = build([(make_pool("a", 4, 3), 2)])
         for number in range(3):
             model.add(f"new{number}", f"r{number}", "h0")
@@ -192,19 +195,19 @@
         self.assertEqual(pools, {"a": 3, "b": 3})
         self.assertIn("1 instance(s) short", model.last.findings[0].message)
 
-    def test_nothing_moves_when_nobody_is_short(self) -> None:
+    def test_nothing_moves_when_no_pool_is_short(self) -> None:
         model = build([(make_pool("a", 3, 1), 5), (make_pool("b", 2, 1), 2)])
         for _ in range(5):
             self.assertIsNone(model.step())
 
-    def test_an_instance_too_small_is_not_taken(self) -> None:
+    def test_an_instance_that_is_too_small_stays_spare(self) -> None:
         model = build([(make_pool("a", 2, 1), 1)])
         model.add("tiny", "r0", "h0", millicores=500)
         for _ in range(3):
             model.step()
         self.assertEqual(model.fleet.assignments[InstanceId("tiny")].pool, SPARE_POOL)
 
-    def test_a_lost_instance_is_replaced_and_adopted_again_when_it_returns(self) -> None:
+    def test_a_lost_instance_is_replaced_and_becomes_spare_when_it_returns(self) -> None:
         model = build([(make_pool("a", 3, 1), 3)])
         model.add("spare0", "r0", "h0")
         model.step()
@@ -219,7 +222,9 @@
 
     @settings(max_examples=40, deadline=None)
     @given(st.lists(st.tuples(st.integers(1, 4), st.integers(0, 4)), min_size=1, max_size=3))
-    def test_pools_fill_as_far_as_instances_go(self, pools: list[tuple[int, int]]) -> None:
+    def test_pools_are_filled_as_far_as_there_are_instances(
+        self, pools: list[tuple[int, int]]
+    ) -> None:
         declared = [
             (make_pool(f"p{n}", wanted, 0), present) for n, (wanted, present) in enumerate(pools)
         ]
@@ -233,13 +238,13 @@
 
 
 def usage(task: str, instance: str, millicores: int, failed: bool = False) -> TaskUsage:
-    """Make one task's report."""
+    """Make the usage report of one task."""
     used = Resources(millicores=millicores)
     return TaskUsage(task=task, instance=instance, used=used, failed=failed)
 
 
 class TestPlacement(unittest.TestCase):
-    """Tasks run where there is room, spread, and no more often than needed."""
+    """Tasks are placed where capacity is free, spread over hosts, and moved only when needed."""
 
     def place(
         self, jobs: list[Job], hosts: list[int], teams: tuple[Team, ...] = ()
@@ -264,7 +269,7 @@
         st.lists(st.tuples(st.integers(1, 3), st.integers(1, 6)), min_size=1, max_size=2),
         st.lists(st.integers(2, 10), min_size=1, max_size=3),
     )
-    def test_no_host_is_overfull_and_a_task_left_out_finds_no_room(
+    def test_no_host_is_overcommitted_and_unplaced_tasks_do_not_fit(
         self, shapes: list[tuple[int, int]], hosts: list[int]
     ) -> None:
         jobs = [self.job(f"j{n}", tasks, size) for n, (tasks, size) in enumerate(shapes)]
@@ -289,12 +294,12 @@
         hosts = Counter(p.instance for p in model.fleet.placements.values())
         self.assertEqual(set(hosts.values()), {1})
 
-    def test_live_jobs_go_first(self) -> None:
+    def test_live_jobs_are_placed_first(self) -> None:
         jobs = [self.job("a", 1, 8, Urgency.BATCH), self.job("b", 1, 8)]
         model = self.place(jobs, [10])
         self.assertEqual([p.job for p in model.fleet.placements.values()], ["b"])
 
-    def test_a_task_that_fits_nowhere_is_told_with_the_reason(self) -> None:
+    def test_an_unplaced_task_is_reported_with_the_reason(self) -> None:
         cases = [
             ([self.job("a", 1, 20)], [10], (), "large enough"),
             ([self.job("a", 2, 8)], [10], (), "no instance of the pool has room now"),
@@ -304,7 +309,7 @@
             model = self.place(jobs, hosts, teams)
             self.assertIn(reason, model.last.findings[0].message)
 
-    def test_a_size_declared_too_small_is_corrected_for_new_tasks(self) -> None:
+    def test_new_tasks_are_placed_by_usage_above_the_declared_size(self) -> None:
         model = self.place([self.job("j", 1, 2)], [10])
         model.usage.observe([usage("j/0", "i0", 6)])
         model.fleet.jobs[JobId("j")] = self.job("j", 2, 2)
@@ -323,7 +328,7 @@
         model.step()
         self.assertEqual(model.fleet.placements[TaskId("j/0")], after)
 
-    def test_an_instance_that_fails_everything_is_avoided_until_a_task_runs(self) -> None:
+    def test_an_instance_that_fails_all_tasks_is_avoided_until_a_task_runs(self) -> None:
         model = self.place([], [10, 10])
         model.usage.observe([usage(f"x/{n}", "i0", 1, failed=True) for n in range(3)])
         model.fleet.jobs[JobId("j")] = self.job("j", 4, 1)
