--- a/pumicespur/maintenance/_fleet_leader.py
+++ b/pumicespur/maintenance/_fleet_leader.py
@@ -70,7 +70,7 @@
         table: PlatformTable,
         orders: FleetOrders,
         ownership: Ownership,
-        wait_s: float,
+        predecessor_wait_s: float,
         request_heartbeat: Callable[[], None],
     ) -> None:
         self.settings = settings
@@ -82,7 +82,7 @@
         self.intents = IntentLog(
             self.journal,
             ProcessId(settings.process.id),
-            ownership.acquired_at + wait_s,
+            ownership.acquired_at + predecessor_wait_s,
             intent_age_s(settings.fleet),
         )
         self.reports = FleetReports(view)
--- a/pumicespur/planning/__init__.py
+++ b/pumicespur/planning/__init__.py
@@ -11,7 +11,7 @@
 from pumicespur.planning._planner import Planner
 from pumicespur.planning._round import Decision, PlanInput
 from pumicespur.planning._usage import UsageTracker, own_tasks
-from pumicespur.planning._waves import in_window, plan_waves
+from pumicespur.planning._waves import is_in_window, plan_waves
 
 __all__ = [
     "Availability",
@@ -23,7 +23,7 @@
     "UsageTracker",
     "advance_instances",
     "decide",
-    "in_window",
+    "is_in_window",
     "own_tasks",
     "plan_moves",
     "plan_placements",
--- a/pumicespur/planning/_decision.py
+++ b/pumicespur/planning/_decision.py
@@ -22,8 +22,8 @@
     """
     decision = Decision()
     advance_instances(plan_input, decision)
-    available = Availability(plan_input.fleet, plan_input.listed, decision.assignments)
-    plan_waves(plan_input, available, decision)
-    plan_moves(plan_input, available, decision)
+    availability = Availability(plan_input.fleet, plan_input.listed, decision.assignments)
+    plan_waves(plan_input, availability, decision)
+    plan_moves(plan_input, availability, decision)
     plan_placements(plan_input, decision)
     return decision
--- a/pumicespur/planning/_lifecycle.py
+++ b/pumicespur/planning/_lifecycle.py
@@ -90,7 +90,7 @@
     is_accepted = drain_token(assignment) in accepted
     if is_accepted and listed is not None and listed.drained:
         _finish_drain(plan_input, decision, assignment, listed)
-    elif _timed_out(plan_input, assignment, plan_input.settings.drain_timeout_s):
+    elif _has_timed_out(plan_input, assignment, plan_input.settings.drain_timeout_s):
         returning = replace_fields(
             assignment, state=InstanceState.RETURNING, next_pool="", since_ms=plan_input.now_ms
         )
@@ -130,13 +130,13 @@
 ) -> None:
     if _is_back(assignment, listed) and reboot_token(assignment) in plan_input.acknowledged:
         assert listed is not None
-        returned = _serving(assignment, listed, plan_input.now_ms)
-        progress = _progress(plan_input, decision, assignment)
+        returned = _as_serving(assignment, listed, plan_input.now_ms)
+        progress = _wave_progress(plan_input, decision, assignment)
         if progress is not None and assignment.outcome is not WaveOutcome.FAILED:
             returned.outcome = WaveOutcome.DONE
             progress.done += 1
         decision.assign(returned)
-    elif _timed_out(plan_input, assignment, plan_input.settings.reboot_timeout_s):
+    elif _has_timed_out(plan_input, assignment, plan_input.settings.reboot_timeout_s):
         # It stays charged to the budget until it is listed again; the wave continues without it.
         _mark_failed(plan_input, decision, assignment)
 
@@ -147,7 +147,7 @@
     if listed is None or listed.drained or listed.liveness is not Liveness.LIVE:
         return
     if resume_token(assignment) in plan_input.acknowledged:
-        decision.assign(_serving(assignment, listed, plan_input.now_ms))
+        decision.assign(_as_serving(assignment, listed, plan_input.now_ms))
 
 
 def _is_back(assignment: Assignment, listed: ListedInstance | None) -> bool:
@@ -156,7 +156,7 @@
     return listed.boot != assignment.boot and not listed.drained
 
 
-def _serving(assignment: Assignment, listed: ListedInstance, now_ms: int) -> Assignment:
+def _as_serving(assignment: Assignment, listed: ListedInstance, now_ms: int) -> Assignment:
     return replace_fields(
         assignment,
         state=InstanceState.SERVING,
@@ -173,7 +173,7 @@
     _count_failure(plan_input, decision, assignment)
 
 
-def _timed_out(plan_input: PlanInput, assignment: Assignment, limit_s: float) -> bool:
+def _has_timed_out(plan_input: PlanInput, assignment: Assignment, limit_s: float) -> bool:
     return plan_input.now_ms - assignment.since_ms > limit_s * MS_PER_S
 
 
@@ -196,14 +196,14 @@
     """
     if assignment.outcome is not WaveOutcome.UNSPECIFIED:
         return False
-    progress = _progress(plan_input, decision, assignment)
+    progress = _wave_progress(plan_input, decision, assignment)
     if progress is None:
         return False
     progress.failed += 1
     return True
 
 
-def _progress(
+def _wave_progress(
     plan_input: PlanInput, decision: Decision, assignment: Assignment
 ) -> WaveProgress | None:
     """Return the decision's row of an instance's wave, or None outside the wave's current run."""
--- a/pumicespur/planning/_moves.py
+++ b/pumicespur/planning/_moves.py
@@ -21,17 +21,19 @@
     from pumicespur.planning._round import Decision, PlanInput
 
 
-def plan_moves(plan_input: PlanInput, available: Availability, decision: Decision) -> None:
+def plan_moves(plan_input: PlanInput, availability: Availability, decision: Decision) -> None:
     """Adopt new instances, drain pools that are no longer declared, and fill short pools."""
-    _MovePlanner(plan_input, available, decision).plan()
+    _MovePlanner(plan_input, availability, decision).plan()
 
 
 class _MovePlanner:
     """Planner of one round of moves, by the members of each pool as decided so far."""
 
-    def __init__(self, plan_input: PlanInput, available: Availability, decision: Decision) -> None:
+    def __init__(
+        self, plan_input: PlanInput, availability: Availability, decision: Decision
+    ) -> None:
         self.plan_input = plan_input
-        self.available = available
+        self.availability = availability
         self.decision = decision
         self.members: dict[PoolId, list[Assignment]] = {pool: [] for pool in plan_input.fleet.pools}
         self.members[SPARE_POOL] = []
@@ -60,7 +62,7 @@
         for name, listed in self.plan_input.listed.items():
             assignment = self.plan_input.fleet.assignments.get(InstanceId(name))
             if assignment is None and listed.liveness is Liveness.LIVE:
-                adopted = _adopted(listed, self.plan_input.now_ms)
+                adopted = _adopt(listed, self.plan_input.now_ms)
                 self.members[SPARE_POOL].append(adopted)
                 self.decision.assign(adopted)
 
@@ -99,7 +101,7 @@
             for source, declared in self.plan_input.fleet.pools.items()
             if source != name and self._surplus(source, declared) > 0
             for assignment in self.members[source]
-            if self._fits(assignment, pool) and self.available.can_take_down(assignment)
+            if self._fits(assignment, pool) and self.availability.can_take_down(assignment)
         ]
         if not fitting:
             return False
@@ -119,7 +121,7 @@
             token=uuid.uuid4().hex,
             since_ms=self.plan_input.now_ms,
         )
-        self.available.take_down(assignment)
+        self.availability.take_down(assignment)
         members = self.members[PoolId(assignment.pool)]
         members[members.index(assignment)] = draining
         self.incoming[pool] += 1
@@ -168,7 +170,7 @@
     return assignment.reason is DrainReason.MOVE and bool(assignment.next_pool)
 
 
-def _adopted(listed: ListedInstance, now_ms: int) -> Assignment:
+def _adopt(listed: ListedInstance, now_ms: int) -> Assignment:
     return Assignment(
         instance=listed.id,
         pool=SPARE_POOL,
--- a/pumicespur/planning/_waves.py
+++ b/pumicespur/planning/_waves.py
@@ -26,23 +26,23 @@
 MINUTES_PER_DAY = 24 * 60
 
 
-def plan_waves(plan_input: PlanInput, available: Availability, decision: Decision) -> None:
+def plan_waves(plan_input: PlanInput, availability: Availability, decision: Decision) -> None:
     """Start as many instances of each running wave as allowed, and end waves that are done."""
     for name, wave in plan_input.fleet.waves.items():
         progress = decision.waves.get(name, plan_input.fleet.progress.get(name))
         if progress is None or progress.phase is not WavePhase.RUNNING:
             continue
-        _plan_wave(plan_input, available, decision, wave, progress)
+        _plan_wave(plan_input, availability, decision, wave, progress)
 
 
 def _plan_wave(
     plan_input: PlanInput,
-    available: Availability,
+    availability: Availability,
     decision: Decision,
     wave: Wave,
     progress: WaveProgress,
 ) -> None:
-    if _failed_too_often(wave, progress):
+    if _has_failed_too_often(wave, progress):
         _end_wave(
             plan_input, decision, progress, WavePhase.HALTED, f"{progress.failed} instances failed"
         )
@@ -53,11 +53,11 @@
     in_progress = [a for a in waiting if _is_in_progress(a, progress)]
     if not waiting:
         _end_wave(plan_input, decision, progress, WavePhase.DONE, "")
-    elif in_window(wave, plan_input.now_ms):
+    elif is_in_window(wave, plan_input.now_ms):
         serving = [a for a in waiting if a.state is InstanceState.SERVING]
         free_places = wave.max_parallel - len(in_progress)
         _start_instances(
-            plan_input, available, decision, wave, progress, serving, in_progress, free_places
+            plan_input, availability, decision, wave, progress, serving, in_progress, free_places
         )
 
 
@@ -72,7 +72,7 @@
 
 def _start_instances(
     plan_input: PlanInput,
-    available: Availability,
+    availability: Availability,
     decision: Decision,
     wave: Wave,
     progress: WaveProgress,
@@ -90,13 +90,15 @@
     for assignment in order:
         if free_places <= 0:
             return
-        if available.can_take_down(assignment):
-            available.take_down(assignment)
-            decision.assign(_draining(plan_input, assignment, progress))
+        if availability.can_take_down(assignment):
+            availability.take_down(assignment)
+            decision.assign(_as_draining(plan_input, assignment, progress))
             free_places -= 1
 
 
-def _draining(plan_input: PlanInput, assignment: Assignment, progress: WaveProgress) -> Assignment:
+def _as_draining(
+    plan_input: PlanInput, assignment: Assignment, progress: WaveProgress
+) -> Assignment:
     same_run = assignment.wave == progress.wave and assignment.wave_run == progress.run
     is_retry = same_run and assignment.outcome is WaveOutcome.UNSPECIFIED
     return replace_fields(
@@ -120,11 +122,11 @@
     return assignment.state is not InstanceState.SERVING and assignment.wave == progress.wave
 
 
-def _failed_too_often(wave: Wave, progress: WaveProgress) -> bool:
+def _has_failed_too_often(wave: Wave, progress: WaveProgress) -> bool:
     return progress.failed > (progress.done + progress.failed) * wave.halt_share
 
 
-def in_window(wave: Wave, now_ms: int) -> bool:
+def is_in_window(wave: Wave, now_ms: int) -> bool:
     """Whether the wave may start instances at this time of day (UTC)."""
     start, end = wave.window_start_minute, wave.window_end_minute
     minute = now_ms // MS_PER_MINUTE % MINUTES_PER_DAY
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -5,7 +5,7 @@
 import uuid
 from typing import TYPE_CHECKING
 
-from pumicespur.planning import Decision, in_window
+from pumicespur.planning import Decision, is_in_window
 from pumicespur.planning._lifecycle import advance_instances
 from pumicespur.planning._waves import is_due
 from pumicespur.schema.fleet_pb import (
@@ -75,7 +75,7 @@
         due = [a for a in newest if a.pool in wave.pools and is_due(a, progress)]
         if not due:
             decision.waves[name] = replace_fields(progress, phase=WavePhase.DONE)
-        elif all(a.state is InstanceState.SERVING for a in due) and in_window(
+        elif all(a.state is InstanceState.SERVING for a in due) and is_in_window(
             wave, plan_input.now_ms
         ):
             decision.assign(
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pumicespur.planning import Availability, in_window
+from pumicespur.planning import Availability, is_in_window
 from pumicespur.schema.fleet_pb import (
     FailureDomain,
     InstanceState,
@@ -170,7 +170,7 @@
         ]
         for start, end, minute, inside in cases:
             wave = Wave(window_start_minute=start, window_end_minute=end)
-            self.assertEqual(in_window(wave, minute * 60_000), inside, (start, end, minute))
+            self.assertEqual(is_in_window(wave, minute * 60_000), inside, (start, end, minute))
 
 
 class TestMoves(unittest.TestCase):
