--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -8,7 +8,7 @@
 
 from benchmarks._report import percentile, print_section, print_table
 from pumicespur.connect import PlatformClient
-from pumicespur.routing import ClaimBook
+from pumicespur.routing import ClaimWriter
 from pumicespur.schema.claims_pb import ClaimState
 from pumicespur.schema.settings_pb import PlatformSettings
 from pumicespur.utils import monotonic
@@ -23,32 +23,32 @@
 
 
 async def measure(delay_ms: int, rate: float) -> tuple[object, ...]:
-    """Claim keys at a rate through eight entries' books."""
+    """Claim keys at a rate through eight entries' claim writers."""
     launcher = Launcher()
     try:
         platform = launcher.start_platform()
         await PlatformOrders(platform).fail(PlatformFault.UNSPECIFIED, delay_ms=delay_ms)
         settings = PlatformSettings(url=platform.url, timeout_s=2, writes_per_s=WRITES_PER_S)
-        books = [ClaimBook(PlatformClient(settings), f"entry-{n}") for n in range(ENTRIES)]
+        writers = [ClaimWriter(PlatformClient(settings), f"entry-{n}") for n in range(ENTRIES)]
         latencies: list[float] = []
 
-        async def claim(book: ClaimBook, key: str) -> None:
+        async def claim(writer: ClaimWriter, key: str) -> None:
             started = monotonic()
-            await book.write(key, book.new_claim(ClaimState.HELD, b""), 0, 5)
+            await writer.write(key, writer.new_claim(ClaimState.HELD, b""), 0, 5)
             latencies.append(monotonic() - started)
 
         async with anyio.create_task_group() as runners:
-            for book in books:
-                runners.start_soon(book.run)
+            for writer in writers:
+                runners.start_soon(writer.run)
             end = monotonic() + SECONDS
             async with anyio.create_task_group() as tasks:
                 number = 0
                 while monotonic() < end:
                     await anyio.sleep(random.expovariate(rate))
-                    tasks.start_soon(claim, random.choice(books), f"k{number}")
+                    tasks.start_soon(claim, random.choice(writers), f"k{number}")
                     number += 1
             runners.cancel_scope.cancel()
-        writes = sum(book.transactions for book in books)
+        writes = sum(writer.transactions for writer in writers)
         return (
             delay_ms,
             rate,
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -102,7 +102,7 @@
             ]
             owner = max(range(self.entries), key=scores.__getitem__)
             shared = self.views[owner][number]
-            shared.limit = CONNECTIONS
+            shared.max_in_flight = CONNECTIONS
             for entry in range(self.entries):
                 self.views[entry][number] = shared
 
--- a/pumicespur/listeners/__init__.py
+++ b/pumicespur/listeners/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of the role `node`, on aiohttp; the other roles' are in `pumicespur.servers`."""
+"""HTTP listeners of the role `node`, on aiohttp; `pumicespur.servers` has the other roles'."""
 
 from __future__ import annotations
 
--- a/pumicespur/listeners/_listeners.py
+++ b/pumicespur/listeners/_listeners.py
@@ -1,4 +1,4 @@
-"""Serve a handler at an address from the settings."""
+"""Listeners that serve a handler at an address from the settings."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
     from collections.abc import Awaitable, Callable
 
 BACKLOG = 512
-"""Connections that may wait to be taken; some times what comes at once in a peak."""
+"""Connections that may wait to be accepted; several times the number that arrive at once in
+a load peak."""
 
 KEEP_ALIVE_S = 75.0
-"""Idle time after which a connection is closed; longer than callers keep theirs."""
+"""Idle time after which a connection is closed; longer than callers keep an idle connection."""
 
 
 async def listen_at(
     address: str, handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 ) -> web.ServerRunner:
-    """Serve at an IP number and port; port 0 takes a free one."""
+    """Start a server at an IP address and port; port 0 selects a free port."""
     host, _, port = address.rpartition(":")
     runner = web.ServerRunner(web.Server(handler, access_log=None, keepalive_timeout=KEEP_ALIVE_S))
     await runner.setup()
@@ -28,6 +29,6 @@
 
 
 def bound_to(runner: web.BaseRunner) -> str:
-    """Return the IP number and port at which a runner serves."""
+    """Return the IP address and port at which a runner serves."""
     host, port = runner.addresses[0][:2]
     return f"{host}:{port}"
--- a/pumicespur/processes/__init__.py
+++ b/pumicespur/processes/__init__.py
@@ -1,4 +1,4 @@
-"""The two long-running roles, put together from their parts."""
+"""The two long-running roles, entry and manager."""
 
 from __future__ import annotations
 
--- a/pumicespur/processes/_entry.py
+++ b/pumicespur/processes/_entry.py
@@ -7,8 +7,8 @@
 import anyio
 from logbook import Logger
 
-from pumicespur.processes._common import Process
-from pumicespur.routing import ClaimBook, Dispatcher, EntryApp, RoutingTable
+from pumicespur.processes._process import Process
+from pumicespur.routing import ClaimWriter, Dispatcher, EntryApp, RoutingTable
 from pumicespur.schema.peer_pb import Role
 from pumicespur.servers import bound_address, hypercorn_config, listen, serve_app
 from pumicespur.utils import announce
@@ -19,29 +19,29 @@
 log = Logger(__name__)
 
 BALANCER_NOTICE_S = 1.0
-"""How long a stopping entry still answers new requests, with "not run", so that the
-balancer's health check sees it first."""
+"""How long a stopping entry still accepts new requests and refuses them with "not run", so
+that the load balancer's health check notices the stop before the listener closes."""
 
 
 class EntryProcess(Process):
-    """Takes callers' requests and carries them to backend servers."""
+    """Accepts callers' requests and forwards them to backend servers."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings, Role.ENTRY)
         self.table = RoutingTable(settings.entry, self.replica, self.platform)
-        self.claims = ClaimBook(self.platform, settings.process.id)
+        self.claims = ClaimWriter(self.platform, settings.process.id)
         self.dispatcher = Dispatcher(settings.entry, self.table, self.claims)
         self.app = EntryApp(settings.entry, self.dispatcher)
         self.socket = listen(settings.entry.listen)
         self.closed = anyio.Event()
 
     async def run(self) -> None:
-        """Serve until a planned stop, then finish what runs."""
+        """Serve until a planned stop, then finish the running requests."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.run_shared)
             tasks.start_soon(self.claims.run)
             tasks.start_soon(self.table.follow_replica)
-            tasks.start_soon(self.table.follow_list)
+            tasks.start_soon(self.table.follow_instance_list)
             tasks.start_soon(self._serve)
             announce(**self.addresses())
             await self.stop.wait()
@@ -53,7 +53,7 @@
         await serve_app(self.app, hypercorn_config(self.socket), self.closed.wait)
 
     async def _finish(self) -> None:
-        """Tell the balancer, refuse new requests, wait for running ones and for claims."""
+        """Fail the health check, refuse new requests, and wait for running ones and claims."""
         self.stopping = True
         self.peers.stopping = True
         self.app.stopping = True
@@ -68,7 +68,7 @@
         await self.table.aclose()
 
     def addresses(self) -> dict[str, str]:
-        """Return where this process listens."""
+        """Return the process's id and role, and the addresses at which it listens."""
         return super().addresses() | {"listen": bound_address(self.socket)}
 
     def describe(self) -> dict[str, Any]:
@@ -87,7 +87,7 @@
         }
 
     def measure(self) -> dict[str, float]:
-        """Return the figures for the metrics page."""
+        """Return the values of the metrics page by metric name."""
         counts = self.dispatcher.counts
         return super().measure() | {
             "requests_answered_total": counts.answered,
--- a/pumicespur/processes/_manager.py
+++ b/pumicespur/processes/_manager.py
@@ -1,4 +1,4 @@
-"""The manager role: operators' calls and planning."""
+"""The manager role: requests of operators, and planning."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pumicespur.operators import OperatorService, measure_pools, operators_app
 from pumicespur.planning import Planner
-from pumicespur.processes._common import Process
+from pumicespur.processes._process import Process
 from pumicespur.schema.peer_pb import Role
 from pumicespur.servers import bound_address, hypercorn_config, listen, serve_app
 from pumicespur.state import Lease, Retention
@@ -21,7 +21,7 @@
 
 
 class ManagerProcess(Process):
-    """Answers operators and plans while it holds the lease."""
+    """Serves operators, and plans while it holds the lease."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings, Role.MANAGER)
@@ -63,7 +63,7 @@
         await serve_app(operators_app(self.service), config)
 
     def addresses(self) -> dict[str, str]:
-        """Return where this process listens."""
+        """Return the process's id and role, and the addresses at which it listens."""
         return super().addresses() | {"listen": bound_address(self.socket)}
 
     def describe(self) -> dict[str, Any]:
@@ -80,7 +80,7 @@
         }
 
     def measure(self) -> dict[str, float]:
-        """Return the figures for the metrics page."""
+        """Return the values of the metrics page by metric name."""
         figures = super().measure() | {
             "lease_held": float(self.lease.held),
             "lease_epoch": self.lease.epoch,
@@ -89,11 +89,12 @@
         }
         pools = measure_pools(self.replica.fleet, self.planner.listing.instances)
         for pool in pools:
-            figures[f"pool_available_{_safe(pool.pool)}"] = pool.available
-            figures[f"pool_minimum_{_safe(pool.pool)}"] = pool.min_available
-            figures[f"pool_buffer_{_safe(pool.pool)}"] = pool.buffer
+            figures[f"pool_available_{_metric_name_part(pool.pool)}"] = pool.available
+            figures[f"pool_minimum_{_metric_name_part(pool.pool)}"] = pool.min_available
+            figures[f"pool_buffer_{_metric_name_part(pool.pool)}"] = pool.buffer
         return figures
 
 
-def _safe(name: str) -> str:
+def _metric_name_part(name: str) -> str:
+    """Replace the characters of a pool's id that a metric name can't contain."""
     return name.replace("-", "_").replace(".", "_")
--- a/pumicespur/processes/_common.py
+++ b/pumicespur/processes/_process.py
@@ -1,4 +1,4 @@
-"""What both roles have: the platform, the replica, peers, and the admin address."""
+"""The base class of both roles: platform client, replica, peers and admin endpoints."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Process:
-    """The parts that both roles share."""
+    """The components and tasks that both roles share."""
 
     def __init__(self, settings: Settings, role: Role) -> None:
         self.settings = settings
@@ -52,7 +52,7 @@
     async def run_shared(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run the shared tasks until cancelled; started once signals are caught."""
+        """Run the shared tasks until cancelled; report started once signals are handled."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(stop_on_signals, self.stop, self.dump)
             task_status.started()
@@ -62,7 +62,7 @@
             tasks.start_soon(serve_app, self.admin, hypercorn_config(self.admin_socket))
 
     def addresses(self) -> dict[str, str]:
-        """Return where this process listens."""
+        """Return the process's id and role, and the addresses at which it listens."""
         return {
             "process": self.settings.process.id,
             "role": self.role.name.lower(),
@@ -114,7 +114,7 @@
         return shown
 
     def health(self) -> str:
-        """Return how the process is, for the balancer; HEALTHY if it takes requests."""
+        """Return the health status for the load balancer; HEALTHY if requests are accepted."""
         if self.stopping:
             return "stopping"
         if not self.replica.revision:
@@ -122,7 +122,7 @@
         return HEALTHY
 
     def measure(self) -> dict[str, float]:
-        """Return the figures for the metrics page; roles add theirs."""
+        """Return the values of the metrics page by metric name; roles add their own."""
         return {
             "revision": self.replica.revision,
             "store_silent_seconds": self.platform.silent_s(),
--- a/pumicespur/routing/__init__.py
+++ b/pumicespur/routing/__init__.py
@@ -1,9 +1,9 @@
-"""The request path: callers in, backend servers out."""
+"""The request path, from callers to backend servers."""
 
 from __future__ import annotations
 
 from pumicespur.routing._backend import Backend
-from pumicespur.routing._claims import ClaimBook
+from pumicespur.routing._claims import ClaimWriter
 from pumicespur.routing._dispatcher import Dispatcher
 from pumicespur.routing._entry_app import EntryApp
 from pumicespur.routing._picker import pick_least_loaded
@@ -12,7 +12,7 @@
 
 __all__ = [
     "Backend",
-    "ClaimBook",
+    "ClaimWriter",
     "Dispatcher",
     "EntryApp",
     "PoolQueue",
--- a/pumicespur/routing/_once.py
+++ b/pumicespur/routing/_at_most_once.py
@@ -1,6 +1,6 @@
-"""Requests that run at most once: claimed first, and sent on only while nothing has left.
+"""At-most-once requests: the key is claimed first, and a retry is made only if nothing was sent.
 
-"Not run" is said only after the key's row says so for good.
+"Not run" is reported only after the key's row has been set to that, which is final.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from expression import Result
 
 from pumicespur.routing._attempts import MAX_ATTEMPTS
-from pumicespur.routing._claims import ClaimBook, ClaimResult, Taken, Unsettled, Won
+from pumicespur.routing._claims import ClaimResult, ClaimWriter, Taken, Unresolved, Won
 from pumicespur.routing._messages import (
     AlreadyRan,
     Answered,
@@ -30,42 +30,43 @@
     from pumicespur.routing._attempts import Attempts
     from pumicespur.routing._queue import PoolQueue, Refusal
 
-CLAIM_RESERVE_S = 0.05
-"""Time kept back from the wait for a claim, to answer before the deadline."""
+RESPONSE_MARGIN_S = 0.05
+"""Time reserved of the wait for a claim, to send the response before the deadline."""
 
 
-class OnceRequests:
-    """Carries requests that must not run twice."""
+class AtMostOnceRequests:
+    """Handles requests with an idempotency key, which must not run twice."""
 
-    def __init__(self, attempts: Attempts, claims: ClaimBook) -> None:
+    def __init__(self, attempts: Attempts, claims: ClaimWriter) -> None:
         self.attempts = attempts
         self.claims = claims
 
     async def run(self, queue: PoolQueue, request: CallerRequest) -> Outcome:
+        """Claim the request's key, send the request and return its outcome."""
         claim = self.claims.new_claim(ClaimState.HELD, request.digest())
         claimed = await self._write_claim(request, claim, 0)
         match claimed:
             case Won(version=version):
                 pass
             case _:
-                return self._after_lost_claim(request, claimed)
+                return self._outcome_of_failed_claim(request, claimed)
         result = await self._send_once(queue, request)
         match result:
             case Answered():
-                self._keep_answer(request, claim, version, result)
+                self._store_response(request, claim, version, result)
                 return result
             case Lost(reason=reason):
                 return Unknown(502, f"no answer: {reason}")
             case NotSent(reason=reason) | Declined(reason=reason):
-                return await self._burn(request, claim, version, reason)
+                return await self._finish_not_run(request, claim, version, reason)
 
     async def _send_once(self, queue: PoolQueue, request: CallerRequest) -> AttemptResult:
-        """Try backend servers until the request may have left this process."""
+        """Try backend servers until one may have received the request."""
         self.attempts.budget.earn()
         tried: set[str] = set()
         result: AttemptResult = NotSent("no attempt")
         for attempt in range(MAX_ATTEMPTS):
-            if attempt and not self.attempts.may_retry(request):
+            if attempt and not self.attempts.try_take_retry(request):
                 break
             match await queue.acquire(request, tried):
                 case Result(tag="ok", ok=backend):
@@ -77,12 +78,12 @@
                 break
         return result
 
-    def _keep_answer(
+    def _store_response(
         self, request: CallerRequest, claim: Claim, version: int, answer: Answered
     ) -> None:
-        """Write the answer into the key's row, without making the caller wait."""
+        """Submit the response for the key's row, without making the caller wait for the write."""
         kept = len(answer.body) <= self.attempts.settings.max_kept_answer_bytes
-        done = replace_fields(
+        completed = replace_fields(
             claim,
             state=ClaimState.DONE,
             status=answer.status,
@@ -90,15 +91,18 @@
             body_kept=kept,
             body=answer.body if kept else b"",
         )
-        self.claims.submit(self._row(request), done, version)
+        self.claims.submit(self._claim_key(request), completed, version)
 
-    async def _burn(
+    async def _finish_not_run(
         self, request: CallerRequest, claim: Claim, version: int, reason: str
     ) -> Outcome:
-        """Say "not run" once the key's row keeps it from ever running."""
-        burnt = replace_fields(claim, state=ClaimState.NOT_RUN)
+        """Mark the key as not run; return NotRun only if the row was written, else Unknown.
+
+        From then on no delivery of the key can run.
+        """
+        not_run = replace_fields(claim, state=ClaimState.NOT_RUN)
         match await self.claims.write(
-            self._row(request), burnt, version, self.claims.platform.settings.timeout_s
+            self._claim_key(request), not_run, version, self.claims.platform.settings.timeout_s
         ):
             case Won():
                 return NotRun(503, f"not accepted: {reason}")
@@ -106,27 +110,28 @@
                 return Unknown(503, f"not accepted, key still held: {reason}")
 
     async def _write_claim(self, request: CallerRequest, claim: Claim, version: int) -> ClaimResult:
-        timeout = max(CLAIM_RESERVE_S, request.remaining_s() - CLAIM_RESERVE_S)
-        return await self.claims.write(self._row(request), claim, version, timeout)
+        timeout = max(RESPONSE_MARGIN_S, request.remaining_s() - RESPONSE_MARGIN_S)
+        return await self.claims.write(self._claim_key(request), claim, version, timeout)
 
-    def _after_lost_claim(self, request: CallerRequest, result: ClaimResult) -> Outcome:
+    def _outcome_of_failed_claim(self, request: CallerRequest, result: ClaimResult) -> Outcome:
+        """Return the outcome of a request whose key this process could not claim."""
         match result:
             case Taken(claim=claim):
-                return answer_from_row(request, claim)
-            case Unsettled(reason=reason):
+                return outcome_from_claim(request, claim)
+            case Unresolved(reason=reason):
                 return Unknown(503, f"can't claim the key: {reason}")
             case _:
                 raise AssertionError(result)
 
     @staticmethod
-    def _row(request: CallerRequest) -> str:
+    def _claim_key(request: CallerRequest) -> str:
         return f"{request.pool}/{request.key}"
 
     async def refuse(self, request: CallerRequest, status: int, refusal: Refusal) -> Outcome:
-        """Refuse a request that this process has not claimed.
+        """Refuse a request whose key this process has not claimed.
 
-        An earlier delivery of the same key may have run, so the key's row decides what is
-        said; the row then keeps the key from ever running.
+        An earlier delivery of the same key may have run, so an existing row decides the
+        outcome. Without one, a row is written that marks the key as not run for good.
         """
         claim = self.claims.new_claim(ClaimState.NOT_RUN, request.digest())
         result = await self._write_claim(request, claim, 0)
@@ -134,11 +139,11 @@
             case Won():
                 return NotRun(status, refusal.reason, refusal.retry_after_s)
             case _:
-                return self._after_lost_claim(request, result)
+                return self._outcome_of_failed_claim(request, result)
 
 
-def answer_from_row(request: CallerRequest, claim: Claim) -> Outcome:
-    """Answer a delivery whose key has a row already."""
+def outcome_from_claim(request: CallerRequest, claim: Claim) -> Outcome:
+    """Return the outcome of a delivery whose key has a row already."""
     if claim.digest != request.digest():
         return NotRun(422, "the key was used for another request")
     match claim.state:
--- a/pumicespur/routing/_attempts.py
+++ b/pumicespur/routing/_attempts.py
@@ -1,4 +1,4 @@
-"""Single attempts at backend servers, and the budget for repeating them."""
+"""Single attempts to send a request to a backend server, and the retry budget."""
 
 from __future__ import annotations
 
@@ -22,23 +22,30 @@
     from pumicespur.schema.settings_pb import EntrySettings
 
 MAX_ATTEMPTS = 4
-RETRY_BURST = 10.0
-SERVER_ERROR = 500
+"""Attempts in one series; also the series that an idempotent request may run in parallel."""
+
+MAX_RETRY_TOKENS = 10.0
+"""Retries that may be made in a burst."""
+
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclass
 class RetryBudget:
-    """Retries as a share of first attempts, so that a dead rack causes no storm."""
+    """A token bucket that limits retries to a share of first attempts.
+
+    Without it, the failure of a rack would multiply the load on the other backend servers.
+    """
 
     share: float
-    tokens: float = RETRY_BURST
+    tokens: float = MAX_RETRY_TOKENS
 
     def earn(self) -> None:
-        """Count a first attempt."""
-        self.tokens = min(RETRY_BURST, self.tokens + self.share)
+        """Add the share of a retry that a first attempt earns."""
+        self.tokens = min(MAX_RETRY_TOKENS, self.tokens + self.share)
 
     def spend(self) -> bool:
-        """Take one retry if the budget has it."""
+        """Take the token of one retry; False if there is none."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -46,15 +53,15 @@
 
 
 class Attempts:
-    """Sends single attempts and decides whether there may be another one."""
+    """Sends single attempts and decides whether a request may be retried."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self.settings = settings
         self.budget = RetryBudget(settings.retry_share)
         self.counts = RequestCounts()
 
-    def may_retry(self, request: CallerRequest) -> bool:
-        """Take a retry from the budget if the request still has time for it."""
+    def try_take_retry(self, request: CallerRequest) -> bool:
+        """Take a retry from the budget; False if it is spent or the deadline has passed."""
         if request.remaining_s() <= 0 or not self.budget.spend():
             return False
         self.counts.retries += 1
@@ -63,11 +70,12 @@
     async def send(
         self, queue: PoolQueue, backend: Backend, request: CallerRequest
     ) -> AttemptResult:
-        """Send once to one backend server and note what it says of its health."""
+        """Send a request once, update the backend server's health and release its capacity."""
         self.counts.attempts += 1
         started = monotonic()
-        # Cancelled when the second of two tries was quicker: that is a failure, too.
-        result: AttemptResult = Lost("outrun by another try")
+        # Stays if the attempt is cancelled because a parallel one was faster, which counts as a
+        # failure of the backend server.
+        result: AttemptResult = Lost("a parallel attempt was faster")
         try:
             result = await backend.send(request, f"{request.id}-{uuid.uuid4().hex[:8]}")
             return result
@@ -77,9 +85,13 @@
 
 
 def note_health(backend: Backend, result: AttemptResult) -> None:
-    """Judge a backend server by the result of an attempt."""
+    """Update a backend server's health from the result of an attempt.
+
+    A status of 500 or more, a refusal while it is not leaving, and any attempt without a
+    whole response count as failures.
+    """
     match result:
-        case Answered(status=status) if status < SERVER_ERROR:
+        case Answered(status=status) if status < MIN_SERVER_ERROR_STATUS:
             backend.note_success()
         case Declined(leaving=True):
             backend.leaving = True
--- a/pumicespur/routing/_claims.py
+++ b/pumicespur/routing/_claims.py
@@ -1,9 +1,9 @@
-"""At most once: one row per key of a not-repeatable request.
+"""Claims: one row per idempotency key, so that an at-most-once request can't run twice.
 
-Before a byte of such a request leaves, its key's row is written on the condition that it
-does not exist. All claims that wait are written in one transaction. A second delivery of
+Before any byte of such a request is sent, its key's row is written on the condition that it
+does not exist. Waiting claims are written together in one transaction. A second delivery of
 the same key, through any entry and also after the first entry is gone, finds the row and
-does not run. While the table service can't answer, nothing is claimed and nothing runs.
+does not run. While the table service does not respond, nothing is claimed and nothing runs.
 """
 
 from __future__ import annotations
@@ -34,67 +34,69 @@
 
     from pumicespur.connect import PlatformClient
 
-MAX_PENDING = 2000
-MAX_GROUP = 100
-RESEND_TRIES = 3
+MAX_PENDING_CLAIMS = 2000
+"""Rows that may wait to be written; further ones are refused."""
+
+MAX_CLAIMS_PER_TRANSACTION = 100
+MAX_TRANSACTION_ATTEMPTS = 3
 
 
 @dataclass(frozen=True)
 class Won:
-    """The key is this process's; the version guards its later writes."""
+    """The row was written; its version is the condition of this process's next write."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class Taken:
-    """The key has a row already."""
+    """The key has another row already."""
 
     claim: Claim
 
 
 @dataclass(frozen=True)
-class Unsettled:
-    """The table service did not say whether the row was written."""
+class Unresolved:
+    """Whether the row was written is not known."""
 
     reason: str
 
 
-ClaimResult: TypeAlias = Won | Taken | Unsettled
+ClaimResult: TypeAlias = Won | Taken | Unresolved
 
 
 @dataclass
-class Pending:
+class PendingClaim:
     """A row that waits to be written."""
 
     key: str
     claim: Claim
-    # The version that the row must have: 0 for a new claim.
+    # The version that the row must have to be written: 0 if it must not exist.
     version: int
-    settled: anyio.Event = field(default_factory=anyio.Event)
-    result: ClaimResult = field(default_factory=lambda: Unsettled("not written yet"))
+    resolved: anyio.Event = field(default_factory=anyio.Event)
+    result: ClaimResult = field(default_factory=lambda: Unresolved("not written yet"))
 
-    def settle(self, result: ClaimResult) -> None:
-        """Give the result to whoever waits."""
+    def resolve(self, result: ClaimResult) -> None:
+        """Set the result and wake the tasks that wait for it."""
         self.result = result
-        self.settled.set()
+        self.resolved.set()
 
 
-class ClaimBook:
-    """Writes the rows of this process's claims, as many in a transaction as wait."""
+class ClaimWriter:
+    """Writes the rows of this process's claims, grouped into transactions."""
 
     def __init__(self, platform: PlatformClient, entry: str) -> None:
         self.platform = platform
         self.entry = entry
         rate = platform.settings.writes_per_s
         self.bucket = TokenBucket(rate, max(1.0, rate))
-        self.pending: list[Pending] = []
+        self.pending: list[PendingClaim] = []
         self.transactions = 0
         self.rows_written = 0
         self._arrived = anyio.Event()
 
     def new_claim(self, state: ClaimState, digest: bytes) -> Claim:
-        """Make the row of a key that this process wants."""
+        """Return a new row, with a random token that identifies this write."""
         return Claim(
             state=state,
             token=uuid.uuid4().hex,
@@ -104,67 +106,68 @@
         )
 
     async def write(self, key: str, claim: Claim, version: int, timeout_s: float) -> ClaimResult:
-        """Write a key's row at `version`; Unsettled when that is not known in time."""
+        """Write a key's row if it is at `version`; Unresolved if that is not known in time."""
         pending = self.submit(key, claim, version)
         if pending is None:
-            return Unsettled("too many claims wait")
+            return Unresolved("too many claims wait")
         with anyio.move_on_after(max(0.0, timeout_s)):
-            await pending.settled.wait()
+            await pending.resolved.wait()
         return pending.result
 
-    def submit(self, key: str, claim: Claim, version: int) -> Pending | None:
-        """Queue a row to be written; None when too many wait."""
-        if len(self.pending) >= MAX_PENDING:
+    def submit(self, key: str, claim: Claim, version: int) -> PendingClaim | None:
+        """Queue a row to be written if it is at `version`; None if too many wait."""
+        if len(self.pending) >= MAX_PENDING_CLAIMS:
             return None
-        pending = Pending(CLAIM_PREFIX + key, claim, version)
+        pending = PendingClaim(CLAIM_PREFIX + key, claim, version)
         self.pending.append(pending)
         self._arrived.set()
         return pending
 
     async def run(self) -> None:
-        """Write what waits, one transaction at a time, within the write rate."""
+        """Write waiting rows, one transaction at a time, within the allowed write rate."""
         while True:
             if not self.pending:
                 self._arrived = anyio.Event()
                 await self._arrived.wait()
             while not self.bucket.try_take():
                 await anyio.sleep(self.bucket.wait_s())
-            await self._write_group(self._take_group())
+            await self._write_group(self._next_group())
 
-    def _take_group(self) -> list[Pending]:
-        """Take rows that wait, each key once so that no two of them clash."""
-        group: dict[str, Pending] = {}
-        left: list[Pending] = []
+    def _next_group(self) -> list[PendingClaim]:
+        """Remove a group of waiting rows, each key at most once so that none conflict."""
+        group: dict[str, PendingClaim] = {}
+        left: list[PendingClaim] = []
         for pending in self.pending:
-            if pending.key in group or len(group) >= MAX_GROUP:
+            if pending.key in group or len(group) >= MAX_CLAIMS_PER_TRANSACTION:
                 left.append(pending)
             else:
                 group[pending.key] = pending
         self.pending = left
         return list(group.values())
 
-    async def _write_group(self, group: list[Pending]) -> None:
-        maybe_sent = False
-        for _ in range(RESEND_TRIES):
+    async def _write_group(self, group: list[PendingClaim]) -> None:
+        """Write rows in one transaction and resolve each; retry without the conflicting ones."""
+        may_have_been_written = False
+        for _ in range(MAX_TRANSACTION_ATTEMPTS):
             match await self._transact(group):
                 case Result(tag="ok", ok=versions):
                     for pending, version in zip(group, versions, strict=True):
-                        pending.settle(Won(version))
+                        pending.resolve(Won(version))
                     self.rows_written += len(group)
                     return
                 case Result(error=Conflict(keys=keys)):
-                    group = await self._resolve(group, keys, maybe_sent)
-                    maybe_sent = False
+                    group = await self._resolve_conflicts(group, keys, may_have_been_written)
+                    may_have_been_written = False
                     if not group:
                         return
                 case Result(error=AnswerLost()):
-                    maybe_sent = True
-                case Result(error=Unavailable(reason=reason)) if not maybe_sent:
-                    self._give_up(group, f"table service unavailable: {reason}")
+                    may_have_been_written = True
+                case Result(error=Unavailable(reason=reason)) if not may_have_been_written:
+                    self._resolve_unknown(group, f"table service unavailable: {reason}")
                     return
-        self._give_up(group, "table service did not answer")
+        self._resolve_unknown(group, "table service did not answer")
 
-    async def _transact(self, group: Sequence[Pending]) -> Result[list[int], Fault]:
+    async def _transact(self, group: Sequence[PendingClaim]) -> Result[list[int], Fault]:
         self.transactions += 1
         transaction = Transaction(
             [Condition(pending.key, pending.version) for pending in group],
@@ -172,33 +175,34 @@
         )
         return await self.platform.transact(transaction)
 
-    async def _resolve(
-        self, group: list[Pending], keys: Sequence[str], maybe_sent: bool
-    ) -> list[Pending]:
-        """Settle the rows that were in the way; return those still to be written."""
-        clashing = [pending for pending in group if pending.key in keys]
-        answer = await self.platform.read([pending.key for pending in clashing])
+    async def _resolve_conflicts(
+        self, group: list[PendingClaim], keys: Sequence[str], may_have_been_written: bool
+    ) -> list[PendingClaim]:
+        """Resolve the claims whose rows conflicted; return those still to be written."""
+        conflicting = [pending for pending in group if pending.key in keys]
+        answer = await self.platform.read([pending.key for pending in conflicting])
         match answer:
             case Result(tag="ok", ok=rows):
-                for pending, row in zip(clashing, rows, strict=True):
-                    self._settle_clash(pending, row)
+                for pending, row in zip(conflicting, rows, strict=True):
+                    self._resolve_conflict(pending, row)
             case _:
-                self._give_up(clashing, "table service did not answer")
-        # A transaction whose answer was lost wrote all rows or none: when its first
-        # delivery took effect, every row clashes and each is settled by its token.
-        return [pending for pending in group if not pending.settled.is_set()]
+                self._resolve_unknown(conflicting, "table service did not answer")
+        # A transaction whose response was lost wrote all rows or none. If it wrote them, every
+        # row conflicts at the next attempt, and its token shows that it is this process's.
+        return [pending for pending in group if not pending.resolved.is_set()]
 
     @staticmethod
-    def _settle_clash(pending: Pending, row: Row) -> None:
+    def _resolve_conflict(pending: PendingClaim, row: Row) -> None:
+        """Resolve a claim by the row that stands in its place, if there is one."""
         if not row.version:
             return
         claim = Claim.from_binary(row.value)
         if claim.token == pending.claim.token and claim.state is pending.claim.state:
-            pending.settle(Won(row.version))
+            pending.resolve(Won(row.version))
         else:
-            pending.settle(Taken(claim))
+            pending.resolve(Taken(claim))
 
     @staticmethod
-    def _give_up(group: Sequence[Pending], reason: str) -> None:
+    def _resolve_unknown(group: Sequence[PendingClaim], reason: str) -> None:
         for pending in group:
-            pending.settle(Unsettled(reason))
+            pending.resolve(Unresolved(reason))
--- a/pumicespur/routing/_dispatcher.py
+++ b/pumicespur/routing/_dispatcher.py
@@ -1,8 +1,9 @@
-"""Admit a request and carry it to its end.
+"""Admission of requests, and their dispatch by kind.
 
-Three rules hold throughout. An attempt whose bytes may have left is never sent again if
-the request is not repeatable. "Not run" is said of a keyed request only after the key's
-row says so for good. Whatever is given up gets its final answer at once.
+Three rules hold throughout. An at-most-once request is never sent again if bytes of an
+attempt may have been sent. "Not run" is reported for a request with a key only after the
+key's row has been set to that for good. A request that is given up gets its final response
+at once.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 
 from logbook import Logger
 
+from pumicespur.routing._at_most_once import AtMostOnceRequests
 from pumicespur.routing._attempts import Attempts
 from pumicespur.routing._freshness import Freshness
+from pumicespur.routing._idempotent import IdempotentRequests
 from pumicespur.routing._messages import CallerRequest, NotRun, Outcome, Unknown
-from pumicespur.routing._once import OnceRequests
 from pumicespur.routing._queue import Refusal
-from pumicespur.routing._repeatable import RepeatableRequests
 
 if TYPE_CHECKING:
-    from pumicespur.routing._claims import ClaimBook
+    from pumicespur.routing._claims import ClaimWriter
     from pumicespur.routing._table import RoutingTable
     from pumicespur.schema.settings_pb import EntrySettings
     from pumicespur.structure import TeamId
@@ -28,31 +29,32 @@
 
 
 class Dispatcher:
-    """Carries requests to the backend servers of their pools."""
+    """Admits requests and sends them to the backend servers of their pools."""
 
-    def __init__(self, settings: EntrySettings, table: RoutingTable, claims: ClaimBook) -> None:
+    def __init__(self, settings: EntrySettings, table: RoutingTable, claims: ClaimWriter) -> None:
         self.table = table
         self.attempts = Attempts(settings)
         self.counts = self.attempts.counts
-        self.repeatable = RepeatableRequests(self.attempts)
-        self.once = OnceRequests(self.attempts, claims)
+        self.idempotent = IdempotentRequests(self.attempts)
+        self.at_most_once = AtMostOnceRequests(self.attempts, claims)
         self.freshness = Freshness(settings, table.replica)
         self.team_running: dict[TeamId, int] = {}
 
     async def handle(self, request: CallerRequest) -> Outcome:
-        """Carry one request to its end."""
-        await self.freshness.wait()
-        if not self._enter_team(request.team):
+        """Handle one request and return its outcome."""
+        await self.freshness.wait_until_fresh()
+        if not self._take_team_slot(request.team):
             outcome = await self.refuse(request, 429, Refusal("team quota reached", 1.0))
         else:
             try:
                 outcome = await self._handle_admitted(request)
             finally:
-                self._leave_team(request.team)
-        self._note(request, outcome)
+                self._release_team_slot(request.team)
+        self._note_outcome(request, outcome)
         return outcome
 
-    def _note(self, request: CallerRequest, outcome: Outcome) -> None:
+    def _note_outcome(self, request: CallerRequest, outcome: Outcome) -> None:
+        """Count the outcome, and log it if it is unknown."""
         self.counts.count(outcome)
         if isinstance(outcome, Unknown):
             log.warning(
@@ -69,17 +71,18 @@
         refusal = queue.refusal(request)
         if refusal is not None:
             return await self.refuse(request, 503, refusal)
-        if request.repeatable:
-            return await self.repeatable.run(queue, request)
-        return await self.once.run(queue, request)
+        if request.is_idempotent:
+            return await self.idempotent.run(queue, request)
+        return await self.at_most_once.run(queue, request)
 
     async def refuse(self, request: CallerRequest, status: int, refusal: Refusal) -> Outcome:
-        """Refuse a request that was not admitted; a keyed one has its row asked first."""
-        if request.repeatable:
+        """Refuse a request that was not admitted; if it has a key, check the key's row first."""
+        if request.is_idempotent:
             return NotRun(status, refusal.reason, refusal.retry_after_s)
-        return await self.once.refuse(request, status, refusal)
+        return await self.at_most_once.refuse(request, status, refusal)
 
-    def _enter_team(self, team: TeamId) -> bool:
+    def _take_team_slot(self, team: TeamId) -> bool:
+        """Count a running request of a team; False if the team's quota is used up."""
         running = self.team_running.get(team, 0)
         declared = self.table.replica.fleet.teams.get(team)
         if declared and declared.max_requests and running >= declared.max_requests:
@@ -87,7 +90,7 @@
         self.team_running[team] = running + 1
         return True
 
-    def _leave_team(self, team: TeamId) -> None:
+    def _release_team_slot(self, team: TeamId) -> None:
         self.team_running[team] -= 1
         if not self.team_running[team]:
             del self.team_running[team]
--- a/pumicespur/routing/_entry_app.py
+++ b/pumicespur/routing/_entry_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application that callers reach."""
+"""The ASGI application that receives callers' requests."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from expression import Error, Ok, Result
 
 from pumicespur.routing._messages import (
-    DEADLINE,
-    KEY,
-    OUTCOME,
-    TEAM,
-    URGENCY,
+    KEY_HEADER,
+    OUTCOME_HEADER,
+    TEAM_HEADER,
+    TIMEOUT_HEADER,
+    URGENCY_HEADER,
     AlreadyRan,
     Answered,
     CallerRequest,
@@ -35,16 +35,18 @@
     from pumicespur.routing._dispatcher import Dispatcher
     from pumicespur.schema.settings_pb import EntrySettings
 
-SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
+IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 """Methods that are idempotent by RFC 9110, section 9.2.2."""
 
-MAX_KEY = 128
+MAX_KEY_LENGTH = 128
 SEND_TIMEOUT_S = 10.0
+"""Limit for writing a response to a caller that does not read it."""
+
 URGENCIES = {"live": Urgency.LIVE, "batch": Urgency.BATCH}
 
 
 class EntryApp:
-    """Reads callers' requests, has them carried out and writes the outcomes."""
+    """Reads callers' requests, passes them to the dispatcher and writes the outcomes."""
 
     def __init__(self, settings: EntrySettings, dispatcher: Dispatcher) -> None:
         self.settings = settings
@@ -59,16 +61,16 @@
         receive: Callable[[], Awaitable[dict[str, Any]]],
         send: Callable[[dict[str, Any]], Awaitable[None]],
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope["type"] != "http":
             return
         if self.running >= self.settings.max_connections:
             full = NotRun(503, "too many requests at this entry")
-            await self._write(send, cautious(full, has_key(scope)))
+            await self._write(send, unknown_if_keyed(full, is_keyed(scope)))
             return
         self.running += 1
         try:
-            # A caller that goes away must not stop a request that may run already.
+            # A caller that disconnects must not cancel a request that may run already.
             with anyio.CancelScope(shield=True):
                 outcome = await self._outcome(scope, receive)
             await self._write(send, outcome)
@@ -78,7 +80,7 @@
                 self.idle.set()
 
     async def finish(self, grace_s: float) -> bool:
-        """Take no new requests and wait for the running ones; tell whether all ended."""
+        """Refuse new requests and wait for the running ones; return whether all ended in time."""
         self.stopping = True
         with anyio.move_on_after(grace_s):
             while self.running:
@@ -102,10 +104,10 @@
         with anyio.move_on_after(request.remaining_s()):
             body = await read_body(receive, self.settings.max_body_bytes)
         if body.is_error():
-            return cautious(body.error, bool(request.key))
-        return await self._carry(replace(request, body=body.ok))
+            return unknown_if_keyed(body.error, bool(request.key))
+        return await self._dispatch(replace(request, body=body.ok))
 
-    async def _carry(self, request: CallerRequest) -> Outcome:
+    async def _dispatch(self, request: CallerRequest) -> Outcome:
         if self.stopping:
             return await self.dispatcher.refuse(request, 503, Refusal("stopping", 0.0))
         return await self.dispatcher.handle(request)
@@ -113,7 +115,7 @@
     async def _write(
         self, send: Callable[[dict[str, Any]], Awaitable[None]], outcome: Outcome
     ) -> None:
-        """Write an outcome; a caller that does not read is cut off after a while."""
+        """Write an outcome, for `SEND_TIMEOUT_S` at most."""
         status, headers, body = render(outcome)
         if self.stopping:
             headers.append(("connection", "close"))
@@ -123,13 +125,13 @@
             await send({"type": "http.response.body", "body": body})
 
 
-def has_key(scope: dict[str, Any]) -> bool:
-    """Tell whether a request names a key, before anything else of it is looked at."""
-    return any(name.lower() == KEY.encode() for name, _ in scope["headers"])
+def is_keyed(scope: dict[str, Any]) -> bool:
+    """Tell whether a request has an idempotency key, before it is parsed."""
+    return any(name.lower() == KEY_HEADER.encode() for name, _ in scope["headers"])
 
 
-def cautious(refused: NotRun, keyed: bool) -> Outcome:
-    """Say "unknown" of a keyed request whose row was not asked.
+def unknown_if_keyed(refused: NotRun, keyed: bool) -> Outcome:
+    """Return Unknown instead of NotRun for a request whose key's row was not checked.
 
     An earlier delivery of the same key may have run, whatever is wrong with this one.
     """
@@ -141,28 +143,31 @@
 def parse_request(
     scope: dict[str, Any], headers: list[tuple[str, str]], settings: EntrySettings
 ) -> Result[CallerRequest, NotRun]:
-    """Read a request's line and headers; its body is still to come.
+    """Parse a request's line and headers; its body is read later.
 
     The path is `/POOL/REST`; the backend server gets `/REST`.
     """
     fields = {name.lower(): value for name, value in headers}
-    # The raw path: a decoded one would turn an encoded slash or question mark into a real one.
+    # The raw path is used, because decoding turns an encoded slash or question mark into a
+    # delimiter.
     pool, _, rest = scope["raw_path"].decode("ascii").lstrip("/").partition("/")
     if not pool:
         return Error(NotRun(404, "the path names no pool; it is /POOL/..."))
     method = scope["method"]
-    key = fields.get(KEY, "")
-    if method not in SAFE_METHODS and not key:
+    key = fields.get(KEY_HEADER, "")
+    if method not in IDEMPOTENT_METHODS and not key:
         return Error(NotRun(428, f"{method} needs an Idempotency-Key header"))
-    if len(key) > MAX_KEY or not key.isprintable() or "/" in key:
-        return Error(NotRun(400, f"Idempotency-Key takes {MAX_KEY} printable characters, no slash"))
-    urgency = URGENCIES.get(fields.get(URGENCY, "live").lower())
+    if len(key) > MAX_KEY_LENGTH or not key.isprintable() or "/" in key:
+        return Error(
+            NotRun(400, f"Idempotency-Key takes {MAX_KEY_LENGTH} printable characters, no slash")
+        )
+    urgency = URGENCIES.get(fields.get(URGENCY_HEADER, "live").lower())
     if urgency is None:
         return Error(NotRun(400, "Pumicespur-Urgency takes live or batch"))
-    timeout = _timeout_s(fields.get(DEADLINE), settings)
+    timeout = _timeout_s(fields.get(TIMEOUT_HEADER), settings)
     if timeout is None:
-        most = int(settings.max_deadline_s * 1000)
-        return Error(NotRun(400, f"Pumicespur-Timeout-Ms takes 1 to {most}"))
+        max_timeout_ms = int(settings.max_deadline_s * 1000)
+        return Error(NotRun(400, f"Pumicespur-Timeout-Ms takes 1 to {max_timeout_ms}"))
     query = scope["query_string"].decode("latin-1")
     request = CallerRequest(
         id=uuid.uuid4().hex,
@@ -172,7 +177,7 @@
         headers=headers,
         body=b"",
         urgency=urgency,
-        team=TeamId(fields.get(TEAM, "")),
+        team=TeamId(fields.get(TEAM_HEADER, "")),
         deadline=monotonic() + timeout,
         key=key,
     )
@@ -180,6 +185,7 @@
 
 
 def _timeout_s(text: str | None, settings: EntrySettings) -> float | None:
+    """Parse the timeout header, in milliseconds; None if it is not valid."""
     if text is None:
         return settings.default_deadline_s
     if not text.isdecimal() or not 0 < int(text) <= settings.max_deadline_s * 1000:
@@ -190,7 +196,7 @@
 async def read_body(
     receive: Callable[[], Awaitable[dict[str, Any]]], limit: int
 ) -> Result[bytes, NotRun]:
-    """Read a whole body, up to a limit."""
+    """Read a whole body of at most `limit` bytes."""
     parts: list[bytes] = []
     size = 0
     while True:
@@ -207,10 +213,10 @@
 
 
 def render(outcome: Outcome) -> tuple[int, list[tuple[str, str]], bytes]:
-    """Return the status, headers and body that tell a caller the outcome."""
+    """Return the status, headers and body of the response that reports an outcome."""
     match outcome:
         case Answered(status=status, headers=headers, body=body):
-            sent = [*headers, (OUTCOME, "answered"), ("content-length", str(len(body)))]
+            sent = [*headers, (OUTCOME_HEADER, "answered"), ("content-length", str(len(body)))]
             return status, sent, body
         case NotRun(status=status, reason=reason, retry_after_s=retry):
             return _problem(status, "not-run", reason, retry)
@@ -223,11 +229,11 @@
 def _problem(
     status: int, outcome: str, reason: str, retry_s: float | None
 ) -> tuple[int, list[tuple[str, str]], bytes]:
-    """Write a problem document (RFC 9457) with its outcome."""
+    """Return a response with a problem document (RFC 9457) and the outcome."""
     body = json.dumps({"status": status, "outcome": outcome, "detail": reason}).encode()
     headers = [
         ("content-type", "application/problem+json"),
-        (OUTCOME, outcome),
+        (OUTCOME_HEADER, outcome),
         ("content-length", str(len(body))),
     ]
     if retry_s is not None:
--- a/pumicespur/routing/_freshness.py
+++ b/pumicespur/routing/_freshness.py
@@ -1,9 +1,9 @@
-"""Whether the routing table can be trusted after a silence.
+"""A short wait for an update when the routing table may be stale.
 
-A process that was paused wakes up with an old table and would use it at once; an
-instance may have changed pool meanwhile. So after a silence, requests wait a moment for
-word from the table service or any peer. When none comes, this process is cut off rather
-than late, and it goes on with what it has: nobody is served better by refusing.
+A process that was paused resumes with an old routing table, and an instance may have changed
+pool meanwhile. So after a time without updates, requests wait briefly for a response of the
+table service or any peer. If none arrives, this process is disconnected rather than late, and
+continues with the table it has, since refusing requests would help nobody.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
     from pumicespur.schema.settings_pb import EntrySettings
     from pumicespur.state import Replica
 
-CHECK_S = 0.01
+CHECK_INTERVAL_S = 0.01
 
 
 class Freshness:
-    """Holds requests back for a moment while the routing table is in doubt."""
+    """Delays requests briefly while the routing table may be stale."""
 
     def __init__(self, settings: EntrySettings, replica: Replica) -> None:
         self.settings = settings
         self.replica = replica
-        self.doubted_at = float("-inf")
+        self.found_stale_at = float("-inf")
 
-    def in_doubt(self) -> bool:
-        """Tell whether nothing was heard for too long."""
+    def is_stale(self) -> bool:
+        """Tell whether the replica was last confirmed longer than `doubt_after_s` ago."""
         return monotonic() - self.replica.confirmed_at > self.settings.doubt_after_s
 
-    async def wait(self) -> None:
-        """Return at once in ordinary times; wait for word, or the limit, while in doubt."""
-        if not self.in_doubt():
+    async def wait_until_fresh(self) -> None:
+        """Wait while the table is stale, but no longer than `doubt_wait_s` in each stale period."""
+        if not self.is_stale():
             return
-        if self.doubted_at < self.replica.confirmed_at:
-            self.doubted_at = monotonic()
-        while self.in_doubt():
-            if monotonic() - self.doubted_at >= self.settings.doubt_wait_s:
+        if self.found_stale_at < self.replica.confirmed_at:
+            self.found_stale_at = monotonic()
+        while self.is_stale():
+            if monotonic() - self.found_stale_at >= self.settings.doubt_wait_s:
                 return
-            await anyio.sleep(CHECK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
--- a/pumicespur/routing/_repeatable.py
+++ b/pumicespur/routing/_idempotent.py
@@ -1,4 +1,4 @@
-"""Requests that may run more than once: tried until one answer comes."""
+"""Idempotent requests: retried and hedged until the first response."""
 
 from __future__ import annotations
 
@@ -23,58 +23,58 @@
     from pumicespur.routing._attempts import Attempts
     from pumicespur.routing._queue import PoolQueue
 
-HEDGE_SHARE = 0.5
-"""Share of the time left to a request after which another try starts."""
+HEDGE_DELAY_RATIO = 0.5
+"""Part of a request's remaining time after which a parallel series of attempts starts."""
 
-CAUTION = (NotRun, Unknown, Answered)
-"""Ends of a request's tries, the one that counts last."""
+OUTCOME_PRECEDENCE = (NotRun, Unknown, Answered)
+"""Outcomes in ascending precedence, where parallel series end in different ones."""
 
 
-class RepeatableRequests:
-    """Carries requests that may run more than once."""
+class IdempotentRequests:
+    """Handles requests that may run more than once."""
 
     def __init__(self, attempts: Attempts) -> None:
         self.attempts = attempts
 
     async def run(self, queue: PoolQueue, request: CallerRequest) -> Outcome:
-        """Try, and try again beside the earlier tries while no answer comes.
+        """Run a series of attempts, and start parallel ones (hedges) while none has ended.
 
-        The first answer counts. Without one the most cautious end does: if either try may
-        have run, the request may have.
+        The first response is the outcome. Without one, the outcome is Unknown if the
+        request may have run in any of the series.
         """
         self.attempts.budget.earn()
-        ends: list[Outcome] = []
+        outcomes: list[Outcome] = []
         tried: set[str] = set()
         ended = anyio.Event()
         async with anyio.create_task_group() as tasks:
 
-            async def run() -> None:
-                ends.append(await self._try_repeatedly(queue, request, tried))
+            async def run_attempts() -> None:
+                outcomes.append(await self._attempt_until_outcome(queue, request, tried))
                 ended.set()
-                if isinstance(ends[-1], Answered):
+                if isinstance(outcomes[-1], Answered):
                     tasks.cancel_scope.cancel()
 
-            tasks.start_soon(run)
+            tasks.start_soon(run_attempts)
             for _ in range(MAX_ATTEMPTS - 1):
                 with anyio.move_on_after(self._hedge_delay_s(request)):
                     await ended.wait()
-                if ended.is_set() or not self.attempts.may_retry(request):
+                if ended.is_set() or not self.attempts.try_take_retry(request):
                     break
                 self.attempts.counts.hedges += 1
-                tasks.start_soon(run)
-        return max(ends, key=lambda end: CAUTION.index(type(end)))
+                tasks.start_soon(run_attempts)
+        return max(outcomes, key=lambda outcome: OUTCOME_PRECEDENCE.index(type(outcome)))
 
     def _hedge_delay_s(self, request: CallerRequest) -> float:
-        return self.attempts.settings.hedge_after_s or request.remaining_s() * HEDGE_SHARE
+        return self.attempts.settings.hedge_after_s or request.remaining_s() * HEDGE_DELAY_RATIO
 
-    async def _try_repeatedly(
+    async def _attempt_until_outcome(
         self, queue: PoolQueue, request: CallerRequest, tried: set[str]
     ) -> Outcome:
-        """Try until there is an answer, the deadline passes or the retry budget is spent."""
-        maybe_ran = False
+        """Retry until there is a response, the deadline passes or the retry budget is spent."""
+        may_have_run = False
         reason = ""
         for attempt in range(MAX_ATTEMPTS):
-            if attempt and not self.attempts.may_retry(request):
+            if attempt and not self.attempts.try_take_retry(request):
                 break
             acquired = await queue.acquire(request, tried)
             match acquired:
@@ -88,9 +88,9 @@
                 case Answered():
                     return result
                 case Lost(reason=reason):
-                    maybe_ran = True
+                    may_have_run = True
                 case NotSent(reason=reason) | Declined(reason=reason):
                     pass
-        if maybe_ran:
+        if may_have_run:
             return Unknown(502, f"no answer: {reason}")
         return NotRun(503, f"not accepted: {reason}")
--- a/pumicespur/routing/_messages.py
+++ b/pumicespur/routing/_messages.py
@@ -1,4 +1,4 @@
-"""What the request path passes around: requests, attempts' results and outcomes."""
+"""Data types of the request path: requests, results of attempts, outcomes and counts."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 Headers: TypeAlias = list[tuple[str, str]]
 
-REQUEST_ID = "pumicespur-request-id"
-OUTCOME = "pumicespur-outcome"
-LEAVING = "pumicespur-leaving"
-LOAD = "pumicespur-load"
-DEADLINE = "pumicespur-timeout-ms"
-URGENCY = "pumicespur-urgency"
-TEAM = "pumicespur-team"
-POOL = "pumicespur-pool"
-KEY = "idempotency-key"
+REQUEST_ID_HEADER = "pumicespur-request-id"
+OUTCOME_HEADER = "pumicespur-outcome"
+LEAVING_HEADER = "pumicespur-leaving"
+LOAD_HEADER = "pumicespur-load"
+TIMEOUT_HEADER = "pumicespur-timeout-ms"
+URGENCY_HEADER = "pumicespur-urgency"
+TEAM_HEADER = "pumicespur-team"
+POOL_HEADER = "pumicespur-pool"
+KEY_HEADER = "idempotency-key"
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """One caller's request, whole."""
+    """A caller's whole request."""
 
     id: str
     pool: PoolId
@@ -37,13 +37,13 @@
     body: bytes
     urgency: Urgency
     team: TeamId
-    # The monotonic time by which the caller wants the answer.
+    # The monotonic time, in seconds, by which the caller wants the response.
     deadline: float
-    # The caller's key if the request must not be repeated, empty otherwise.
+    # The caller's idempotency key if the request must run at most once, empty otherwise.
     key: str = ""
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether running the request twice does no harm."""
         return not self.key
 
@@ -52,14 +52,14 @@
         return self.deadline - monotonic()
 
     def digest(self) -> bytes:
-        """Return a hash by which a repeat of the same request is known."""
+        """Return a hash that identifies a repeated delivery of the same request."""
         parts = (self.method.encode(), self.pool.encode(), self.target.encode(), self.body)
         return hashlib.sha256(b"\0".join(parts)).digest()
 
 
 @dataclass(frozen=True)
 class Answered:
-    """The backend server's whole answer to this very request."""
+    """The backend server's whole response to this very request."""
 
     status: int
     headers: Headers
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True)
 class NotSent:
-    """No byte of the request left this process."""
+    """No byte of the request was sent."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Declined:
-    """The backend server says that it did not run the request."""
+    """The backend server reported that it did not run the request."""
 
     reason: str
     leaving: bool
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class Lost:
-    """The request may have left, and no whole answer to it came back."""
+    """The request may have been sent, and no whole response to it was received."""
 
     reason: str
 
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True)
 class NotRun:
-    """The request did not run and never will, under its key if it has one."""
+    """The request did not run and, if it has a key, never will under that key."""
 
     status: int
     reason: str
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class Unknown:
-    """Whether the request ran is not known; the same key may be sent again."""
+    """Whether the request ran is not known; it may be sent again with the same key."""
 
     status: int
     reason: str
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True)
 class AlreadyRan:
-    """The request ran before, and its answer was too large to keep."""
+    """The request ran before, and its response was too large to be stored."""
 
     status: int
     reason: str = "ran before; its answer is not kept"
@@ -122,7 +122,10 @@
 
 @dataclass
 class RequestCounts:
-    """How many requests ended in each way, since the process started."""
+    """Counts of requests by outcome, and of attempts, since the process started.
+
+    The field names are part of the state dump.
+    """
 
     answered: int = 0
     not_run: int = 0
@@ -134,7 +137,7 @@
     by_reason: dict[str, int] = field(default_factory=dict)
 
     def count(self, outcome: Outcome) -> None:
-        """Count a request's end."""
+        """Count a request by its outcome."""
         match outcome:
             case Answered():
                 self.answered += 1
--- a/pumicespur/routing/_picker.py
+++ b/pumicespur/routing/_picker.py
@@ -1,4 +1,4 @@
-"""Choose a backend server for one attempt."""
+"""Select a backend server for one attempt."""
 
 from __future__ import annotations
 
@@ -10,40 +10,48 @@
 
     from pumicespur.routing._backend import Backend
 
-EJECTED_SHARE = 0.5
-"""At most this share of a pool is left out for failures; beyond it, all are tried again."""
+MAX_EJECTED_RATIO = 0.5
+"""Ratio of a pool's backend servers that may be ejected for failures. When more are, ejection
+is ignored for the whole pool."""
 
 
-SAMPLE = 16
-"""Backend servers looked at for one choice. The best of a few drawn by chance is nearly as
-little loaded as the best of all (Mitzenmacher, "The power of two choices", 2001), and the
-cost of a choice does not grow with the pool."""
+SAMPLE_SIZE = 16
+"""Backend servers compared for one selection. The least loaded of a small random sample is
+nearly as little loaded as that of all (Mitzenmacher, "The power of two choices", 2001), and
+the cost of a selection does not grow with the pool."""
 
 
-def eligible(backends: Sequence[Backend], avoid: Collection[str] = ()) -> list[Backend]:
-    """Return the backend servers that may get new work, ejected ones left out if few."""
-    staying = [backend for backend in backends if not backend.leaving]
-    healthy = [backend for backend in staying if not backend.ejected]
-    if len(healthy) < len(staying) * (1 - EJECTED_SHARE):
-        healthy = staying
-    fresh = [backend for backend in healthy if backend.id not in avoid]
-    return fresh or healthy
+def select_eligible(backends: Sequence[Backend], avoid: Collection[str] = ()) -> list[Backend]:
+    """Return the backend servers that may get new requests.
+
+    Excluded are those that leave, ejected ones unless they exceed `MAX_EJECTED_RATIO`, and
+    those in `avoid` while any other remains.
+    """
+    active = [backend for backend in backends if not backend.leaving]
+    healthy = [backend for backend in active if not backend.ejected]
+    if len(healthy) < len(active) * (1 - MAX_EJECTED_RATIO):
+        healthy = active
+    untried = [backend for backend in healthy if backend.id not in avoid]
+    return untried or healthy
 
 
 def pick_least_loaded(backends: Sequence[Backend], avoid: Collection[str] = ()) -> Backend | None:
-    """Return a backend server with room and little load, None if none has room.
+    """Return a backend server with free capacity and little load, None if none has capacity.
 
-    A large pool is sampled; only when nothing in the sample has room are all looked at.
+    A large pool is sampled; all its backend servers are compared only when none in the
+    sample has free capacity.
     """
-    if len(backends) > SAMPLE:
-        chosen = _least_loaded(random.sample(backends, SAMPLE), avoid)
+    if len(backends) > SAMPLE_SIZE:
+        chosen = _find_least_loaded(random.sample(backends, SAMPLE_SIZE), avoid)
         if chosen is not None:
             return chosen
-    return _least_loaded(backends, avoid)
+    return _find_least_loaded(backends, avoid)
 
 
-def _least_loaded(backends: Sequence[Backend], avoid: Collection[str]) -> Backend | None:
-    open_ones = [backend for backend in eligible(backends, avoid) if backend.has_room]
-    if not open_ones:
+def _find_least_loaded(backends: Sequence[Backend], avoid: Collection[str]) -> Backend | None:
+    available = [
+        backend for backend in select_eligible(backends, avoid) if backend.has_free_capacity
+    ]
+    if not available:
         return None
-    return min(open_ones, key=lambda backend: (backend.load(), random.random()))
+    return min(available, key=lambda backend: (backend.load(), random.random()))
--- a/pumicespur/routing/_queue.py
+++ b/pumicespur/routing/_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one pool: bounded, live requests first, batch never starved."""
+"""The bounded request queue of one pool: live requests first, batch never starved."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import anyio
 from expression import Error, Ok, Result
 
-from pumicespur.routing._picker import eligible, pick_least_loaded
+from pumicespur.routing._picker import pick_least_loaded, select_eligible
 from pumicespur.schema.fleet_pb import Urgency
 
 if TYPE_CHECKING:
@@ -18,16 +18,19 @@
     from pumicespur.routing._backend import Backend
     from pumicespur.routing._messages import CallerRequest
 
-BATCH_EVERY = 4
-"""One grant in this many goes to batch work while any of it waits."""
+BATCH_GRANT_INTERVAL = 4
+"""While batch requests wait, one grant in this many goes to them."""
 
-FIRST_SERVICE_S = 0.005
-SERVICE_SMOOTHING = 0.1
+INITIAL_SERVICE_S = 0.005
+"""Service time assumed until the first attempt has ended."""
+
+SERVICE_SMOOTHING_FACTOR = 0.1
+"""Weight of the newest attempt in the moving average of the service time."""
 
 
 @dataclass(frozen=True)
 class Refusal:
-    """The queue did not take the request, or gave it up."""
+    """Why a request was not admitted or was not granted a backend server in time."""
 
     reason: str
     retry_after_s: float
@@ -35,7 +38,10 @@
 
 @dataclass
 class Waiter:
-    """A request that waits for room on a backend server."""
+    """A request that waits for free capacity on a backend server.
+
+    `avoid` holds the ids of backend servers that the request has tried already.
+    """
 
     avoid: Collection[str]
     granted: anyio.Event = field(default_factory=anyio.Event)
@@ -43,7 +49,10 @@
 
 
 class PoolQueue:
-    """Hands out room on the backend servers of one pool."""
+    """Allocates the capacity of one pool's backend servers to waiting requests.
+
+    `service_s` is the moving average of the time that an attempt takes, in seconds.
+    """
 
     def __init__(self, max_queue: int) -> None:
         self.max_queue = max_queue
@@ -52,26 +61,28 @@
             Urgency.LIVE: deque(),
             Urgency.BATCH: deque(),
         }
-        self.service_s = FIRST_SERVICE_S
+        self.service_s = INITIAL_SERVICE_S
         self._grants = 0
 
     def replace_backends(self, backends: Sequence[Backend]) -> None:
-        """Use these backend servers from now on."""
+        """Replace the pool's backend servers and serve waiting requests from the new ones."""
         self.backends = list(backends)
         self.grant()
 
     def expected_wait_s(self, urgency: Urgency) -> float:
-        """Return how long a new request would probably wait."""
+        """Return the estimated queueing time of a new request, in seconds."""
         ahead = len(self.waiting[urgency])
         if urgency is Urgency.BATCH:
             ahead += len(self.waiting[Urgency.LIVE])
         if not ahead:
             return 0.0
-        width = sum(min(backend.limit, backend.slots) for backend in eligible(self.backends))
-        return ahead * self.service_s / max(1, width)
+        concurrency = sum(
+            min(backend.max_in_flight, backend.slots) for backend in select_eligible(self.backends)
+        )
+        return ahead * self.service_s / max(1, concurrency)
 
     def refusal(self, request: CallerRequest) -> Refusal | None:
-        """Return why a request can't be served in time, None if it probably can."""
+        """Return why a request should be refused at once, None to let it wait."""
         if all(backend.leaving for backend in self.backends):
             return Refusal("no backend server", 1.0)
         if len(self.waiting[request.urgency]) >= self.max_queue:
@@ -84,7 +95,11 @@
     async def acquire(
         self, request: CallerRequest, avoid: Collection[str] = ()
     ) -> Result[Backend, Refusal]:
-        """Wait for room on a backend server; the caller must release it."""
+        """Wait until the deadline for a backend server with free capacity.
+
+        One request is counted on it; call `release` when the attempt has ended. A backend
+        server whose id is in `avoid` is granted only when no other is eligible.
+        """
         refusal = self.refusal(request)
         if refusal is not None:
             return Error(refusal)
@@ -95,7 +110,7 @@
             with anyio.move_on_after(max(0.0, request.remaining_s())):
                 await waiter.granted.wait()
         except BaseException:
-            # Cancelled from outside: room that was granted meanwhile goes back.
+            # Cancelled from outside: return the capacity that was granted meanwhile.
             if waiter.backend is not None:
                 self.release(waiter.backend, self.service_s)
             raise
@@ -107,13 +122,13 @@
         return Ok(waiter.backend)
 
     def release(self, backend: Backend, service_s: float) -> None:
-        """Give back the room of an attempt that took `service_s` seconds."""
+        """Return the capacity of an attempt that took `service_s` seconds."""
         backend.in_flight -= 1
-        self.service_s += SERVICE_SMOOTHING * (service_s - self.service_s)
+        self.service_s += SERVICE_SMOOTHING_FACTOR * (service_s - self.service_s)
         self.grant()
 
     def grant(self) -> None:
-        """Hand out room to waiting requests."""
+        """Allocate free capacity to waiting requests."""
         while queue := self._next_queue():
             waiter = queue[0]
             backend = pick_least_loaded(self.backends, waiter.avoid)
@@ -126,7 +141,8 @@
             waiter.granted.set()
 
     def _next_queue(self) -> deque[Waiter] | None:
+        """Return the queue whose head is served next, None if nothing waits."""
         live, batch = self.waiting[Urgency.LIVE], self.waiting[Urgency.BATCH]
-        if batch and (not live or self._grants % BATCH_EVERY == BATCH_EVERY - 1):
+        if batch and (not live or self._grants % BATCH_GRANT_INTERVAL == BATCH_GRANT_INTERVAL - 1):
             return batch
         return live or None
--- a/pumicespur/routing/_table.py
+++ b/pumicespur/routing/_table.py
@@ -1,4 +1,4 @@
-"""Which backend servers each pool has, in line with the replica and the platform's list."""
+"""The backend servers of each pool, from the replica and the platform's list of instances."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from pumicespur.state import Replica
     from pumicespur.store import Listing
 
-LIST_POLL_S = 2.0
+LIST_POLL_INTERVAL_S = 2.0
 
 
 class RoutingTable:
@@ -33,29 +33,29 @@
         self.queues: dict[PoolId, PoolQueue] = {}
         self.backends: dict[InstanceId, Backend] = {}
         self.applied_revision = 0
-        self._routed: dict[InstanceId, Assignment] = {}
+        self._assignments: dict[InstanceId, Assignment] = {}
         self._retired: list[Backend] = []
 
     async def follow_replica(self) -> None:
-        """Rebuild the table at every new revision."""
+        """Rebuild the table at every new revision, and close idle retired backend servers."""
         while True:
             changed = self.replica.changed
             if self.applied_revision != self.replica.revision:
                 self.rebuild()
             await self._close_idle()
-            with anyio.move_on_after(LIST_POLL_S):
+            with anyio.move_on_after(LIST_POLL_INTERVAL_S):
                 await changed.wait()
 
-    async def follow_list(self) -> None:
-        """Learn from the platform's list which instances are leaving."""
+    async def follow_instance_list(self) -> None:
+        """Poll the platform's list for instances that are leaving."""
         while True:
             match await self.platform.list_instances():
                 case Result(tag="ok", ok=listing):
-                    self.note_list(listing)
-            await anyio.sleep(LIST_POLL_S)
+                    self.note_instance_list(listing)
+            await anyio.sleep(LIST_POLL_INTERVAL_S)
 
     def rebuild(self) -> None:
-        """Bring pools and backend servers in line with the replica's newest state."""
+        """Update the pools and backend servers to the replica's newest state."""
         fleet = self.replica.fleet
         serving: dict[PoolId, list[Backend]] = {pool: [] for pool in fleet.pools}
         seen = set()
@@ -68,7 +68,7 @@
             serving[pool].append(self._backend(name, assignment))
         for name in self.backends.keys() - seen:
             self._retired.append(self.backends.pop(name))
-            self._routed.pop(name)
+            self._assignments.pop(name)
         for pool in self.queues.keys() - serving.keys():
             self.queues.pop(pool).replace_backends([])
         for pool, backends in serving.items():
@@ -77,17 +77,17 @@
         self.applied_revision = fleet.revision
 
     def _backend(self, name: InstanceId, assignment: Assignment) -> Backend:
-        """Return the backend server of an assignment, a new one if the assignment is new."""
+        """Return the backend server of an assignment; create one if the assignment changed."""
         backend = self.backends.get(name)
-        if backend is None or self._routed[name] != assignment:
+        if backend is None or self._assignments[name] != assignment:
             if backend is not None:
                 self._retired.append(backend)
             backend = Backend(assignment, self.settings)
             self.backends[name] = backend
-            self._routed[name] = assignment
+            self._assignments[name] = assignment
         return backend
 
-    def note_list(self, listing: Listing) -> None:
+    def note_instance_list(self, listing: Listing) -> None:
         """Mark backend servers that the platform lists as leaving."""
         for name, backend in self.backends.items():
             listed = listing.instances.get(name)
--- a/pumicespur/servers/__init__.py
+++ b/pumicespur/servers/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP servers of the project's own interfaces, on hypercorn."""
+"""HTTP servers of the roles `entry` and `manager` and of the stand-ins, on hypercorn."""
 
 from __future__ import annotations
 
--- a/pumicespur/servers/_servers.py
+++ b/pumicespur/servers/_servers.py
@@ -1,4 +1,4 @@
-"""Listening sockets and hypercorn, set up the same way for every server."""
+"""Listening sockets and hypercorn configuration, the same for every server."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from collections.abc import Awaitable, Callable
 
 BACKLOG = 1024
-HEADER_BYTES = 32 * 1024
-HEADER_SECONDS = 10
+MAX_HEADER_BYTES = 32 * 1024
+HEADER_TIMEOUT_S = 10
 
 
 def listen(address: str) -> socket.socket:
-    """Bind a listening socket to `IP:port`; port 0 takes a free one."""
+    """Return a socket that listens at `IP:port`; port 0 selects a free port."""
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -45,8 +45,8 @@
     config.accesslog = None
     config.errorlog = None
     config.include_server_header = False
-    config.h11_max_incomplete_size = HEADER_BYTES
-    config.keep_alive_timeout = HEADER_SECONDS
+    config.h11_max_incomplete_size = MAX_HEADER_BYTES
+    config.keep_alive_timeout = HEADER_TIMEOUT_S
     # By default a connection is closed without notice after 1,000 requests.
     config.keep_alive_max_requests = sys.maxsize
     config.graceful_timeout = 0.5
@@ -59,9 +59,9 @@
 ) -> None:
     """Serve an ASGI application until `stopped` returns or the task is cancelled.
 
-    Hypercorn's own clean-up fails under anyio's repeated cancellation, so it is shielded
-    and told to end by its trigger. Without a trigger it would also take the process's
-    signals for itself.
+    Hypercorn's own cleanup fails under anyio's repeated cancellation, so it is shielded and
+    ended by its shutdown trigger. Without a trigger it would also install its own signal
+    handlers.
     """
     trigger = anyio.Event()
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from pumicespur.routing import Backend, PoolQueue, Refusal, pick_least_loaded
-from pumicespur.routing._attempts import RETRY_BURST, RetryBudget
+from pumicespur.routing._attempts import MAX_RETRY_TOKENS, RetryBudget
 from pumicespur.routing._messages import CallerRequest
-from pumicespur.routing._picker import SAMPLE
+from pumicespur.routing._picker import SAMPLE_SIZE
 from pumicespur.schema.fleet_pb import Assignment, Urgency
 from pumicespur.schema.settings_pb import EntrySettings
 from pumicespur.structure import PoolId, TeamId
@@ -50,7 +50,7 @@
 
     @given(
         st.lists(
-            st.tuples(st.integers(0, LIMIT), st.booleans(), st.booleans()), max_size=3 * SAMPLE
+            st.tuples(st.integers(0, LIMIT), st.booleans(), st.booleans()), max_size=3 * SAMPLE_SIZE
         )
     )
     def test_a_choice_has_room_and_is_not_leaving(
@@ -63,14 +63,14 @@
             backend.ejected_until = float("inf") if ejected else 0.0
             backends.append(backend)
         chosen = pick_least_loaded(backends)
-        usable = [b for b in backends if not b.leaving and b.has_room and not b.ejected]
+        usable = [b for b in backends if not b.leaving and b.has_free_capacity and not b.ejected]
         staying = [b for b in backends if not b.leaving]
         if chosen is None:
             few_ejected = sum(b.ejected for b in staying) <= len(staying) / 2
             self.assertFalse(few_ejected and usable)
             return
-        self.assertTrue(chosen.has_room and not chosen.leaving)
-        if len(backends) <= SAMPLE and not chosen.ejected:
+        self.assertTrue(chosen.has_free_capacity and not chosen.leaving)
+        if len(backends) <= SAMPLE_SIZE and not chosen.ejected:
             self.assertEqual(chosen.load(), min(b.load() for b in usable))
 
     def test_a_pool_whose_every_member_failed_is_still_tried(self) -> None:
@@ -201,4 +201,4 @@
             else:
                 budget.earn()
                 first += 1
-        self.assertLessEqual(spent, RETRY_BURST + share * first + 1e-6)
+        self.assertLessEqual(spent, MAX_RETRY_TOKENS + share * first + 1e-6)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,8 +9,8 @@
 
 from pumicespur.connect import PlatformClient
 from pumicespur.planning import Decision, Planner
-from pumicespur.routing import ClaimBook
-from pumicespur.routing._claims import Taken, Unsettled, Won
+from pumicespur.routing import ClaimWriter
+from pumicespur.routing._claims import Taken, Unresolved, Won
 from pumicespur.schema.claims_pb import ClaimState
 from pumicespur.schema.fleet_pb import Declaration, Pool, Record
 from pumicespur.schema.settings_pb import ManagerSettings, PlatformSettings
@@ -202,53 +202,55 @@
 class TestClaims(PlatformCase):
     """A key is won once, by whoever; also when answers are lost."""
 
-    async def claim_all(self, books: list[ClaimBook], keys: list[str]) -> dict[str, list[object]]:
-        """Claim every key through every book at the same time."""
+    async def claim_all(
+        self, writers: list[ClaimWriter], keys: list[str]
+    ) -> dict[str, list[object]]:
+        """Claim every key through every writer at the same time."""
         results: dict[str, list[object]] = {key: [] for key in keys}
 
-        async def claim(book: ClaimBook, key: str) -> None:
-            row = book.new_claim(ClaimState.HELD, key.encode())
-            results[key].append(await book.write(key, row, 0, 5))
+        async def claim(writer: ClaimWriter, key: str) -> None:
+            row = writer.new_claim(ClaimState.HELD, key.encode())
+            results[key].append(await writer.write(key, row, 0, 5))
 
         async with anyio.create_task_group() as runners:
-            for book in books:
-                runners.start_soon(book.run)
+            for writer in writers:
+                runners.start_soon(writer.run)
             async with anyio.create_task_group() as tasks:
                 for key in keys:
-                    for book in books:
-                        tasks.start_soon(claim, book, key)
+                    for writer in writers:
+                        tasks.start_soon(claim, writer, key)
             runners.cancel_scope.cancel()
         return results
 
     async def test_each_key_is_won_once(self) -> None:
-        books = [ClaimBook(self.client(), f"entry-{n}") for n in range(3)]
+        writers = [ClaimWriter(self.client(), f"entry-{n}") for n in range(3)]
         keys = [f"k{n}" for n in range(40)]
-        for key, results in (await self.claim_all(books, keys)).items():
+        for key, results in (await self.claim_all(writers, keys)).items():
             kinds = sorted(type(result).__name__ for result in results)
             self.assertEqual(kinds, ["Taken", "Taken", "Won"], key)
-        writes = sum(book.transactions for book in books)
+        writes = sum(writer.transactions for writer in writers)
         self.assertLess(writes, len(keys))
 
     async def test_lost_answers_never_give_a_key_to_two(self) -> None:
         self.call_s = FAULT_TIMEOUT_S
-        books = [ClaimBook(self.client(), f"entry-{n}") for n in range(2)]
+        writers = [ClaimWriter(self.client(), f"entry-{n}") for n in range(2)]
         await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=2)
-        for key, results in (await self.claim_all(books, [f"k{n}" for n in range(20)])).items():
+        for key, results in (await self.claim_all(writers, [f"k{n}" for n in range(20)])).items():
             won = [result for result in results if isinstance(result, Won)]
             self.assertEqual(len(won), 1, key)
 
-    async def test_an_outage_is_unsettled_and_names_its_cause(self) -> None:
+    async def test_an_outage_is_unresolved_and_names_its_cause(self) -> None:
         self.call_s = FAULT_TIMEOUT_S
         await self.orders.fail(PlatformFault.REFUSE)
-        results = await self.claim_all([ClaimBook(self.client(), "entry-1")], ["k1"])
+        results = await self.claim_all([ClaimWriter(self.client(), "entry-1")], ["k1"])
         match results["k1"]:
-            case [Unsettled(reason=reason)]:
+            case [Unresolved(reason=reason)]:
                 self.assertIn("did not answer", reason)
             case other:
                 self.fail(str(other))
 
     async def test_a_taken_key_shows_its_row(self) -> None:
-        first, second = (ClaimBook(self.client(), name) for name in ("a", "b"))
+        first, second = (ClaimWriter(self.client(), name) for name in ("a", "b"))
         await self.claim_all([first], ["k1"])
         match (await self.claim_all([second], ["k1"]))["k1"]:
             case [Taken(claim=claim)]:
@@ -265,13 +267,13 @@
         await lease._watch()
         settings = ManagerSettings(claim_retention_h=1)
         retention = Retention(settings, self.client(), lease)
-        book = ClaimBook(self.client(), "a")
-        old, new = (book.new_claim(ClaimState.HELD, b"") for _ in range(2))
+        writer = ClaimWriter(self.client(), "a")
+        old, new = (writer.new_claim(ClaimState.HELD, b"") for _ in range(2))
         old.at_ms -= 2 * 3_600_000
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(book.run)
-            await book.write("old", old, 0, 5)
-            await book.write("new", new, 0, 5)
+            tasks.start_soon(writer.run)
+            await writer.write("old", old, 0, 5)
+            await writer.write("new", new, 0, 5)
             tasks.cancel_scope.cancel()
         await retention.sweep_claims()
         rows = (await self.client().scan("claim/")).ok
