--- a/tests/test_request_faults.py
+++ b/tests/test_request_faults.py
@@ -1,4 +1,4 @@
-"""Tests of the request path under faults of callers, networks and several at once."""
+"""Tests of the request path under faults of backend servers, callers, and several at once."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class TestBackendFaults(ClusterCase):
-    """Backend servers that freeze, hang or repeat themselves."""
+    """Backend servers that freeze, hang, crash or send duplicate responses."""
 
     async def get_all(self, count: int) -> list[str]:
-        """Send repeatable requests one after the other; return their outcomes."""
+        """Send idempotent requests one after the other; return their outcomes."""
         url = f"{self.entries[0].url}/issuance/x"
         headers = {"pumicespur-timeout-ms": "2000"}
         return [outcome_of(await self.http.get(url, headers=headers)) for _ in range(count)]
 
-    async def test_a_duplicated_answer_reaches_nobody_else(self) -> None:
+    async def test_a_duplicated_response_reaches_no_other_caller(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         backend = BackendOrders(self.backends[0])
         await backend.give(BackendOrder(fault=BackendFault.DUPLICATE))
         for number in range(10):
-            answer = await self.post(self.entries[0], f"k{number}")
-            self.assertIn(outcome_of(answer), ("answered", "unknown"))
-            if outcome_of(answer) == "answered":
-                self.assertEqual(answer.json()["key"], f"k{number}")
+            response = await self.post(self.entries[0], f"k{number}")
+            self.assertIn(outcome_of(response), ("answered", "unknown"))
+            if outcome_of(response) == "answered":
+                self.assertEqual(response.json()["key"], f"k{number}")
             self.assertLessEqual(await self.runs(f"k{number}"), 1)
 
-    async def test_a_late_answer_reaches_nobody_else(self) -> None:
+    async def test_a_late_response_reaches_no_other_caller(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         backend = BackendOrders(self.backends[0])
         for number in range(5):
@@ -40,22 +40,22 @@
             late = await self.post(self.entries[0], f"late-{number}", timeout_ms=200)
             self.assertEqual(outcome_of(late), "unknown")
             await backend.give(BackendOrder())
-            answer = await self.post(self.entries[0], f"next-{number}")
-            self.assertEqual(answer.json()["key"], f"next-{number}")
+            response = await self.post(self.entries[0], f"next-{number}")
+            self.assertEqual(response.json()["key"], f"next-{number}")
             self.assertLessEqual(await self.runs(f"late-{number}"), 1)
 
-    async def test_one_killed_while_requests_run_on_it(self) -> None:
-        """What may be repeated is answered elsewhere; what may not is unknown."""
+    async def test_a_backend_server_killed_while_requests_run_on_it(self) -> None:
+        """Idempotent requests get a response from another one; at-most-once ones are unknown."""
         await self.start_cluster(one_pool(2, 0), backends=2)
         for backend in self.backends:
             await BackendOrders(backend).give(BackendOrder(delay_ms=1000))
-        ends: dict[str, list[str]] = {"GET": [], "POST": []}
+        outcomes: dict[str, list[str]] = {"GET": [], "POST": []}
 
         async def call(method: str, number: int) -> None:
             headers = {"idempotency-key": f"k{number}"} if method == "POST" else {}
             url = f"{self.entries[0].url}/issuance/x"
-            answer = await self.http.request(method, url, headers=headers)
-            ends[method].append(outcome_of(answer))
+            response = await self.http.request(method, url, headers=headers)
+            outcomes[method].append(outcome_of(response))
 
         async def running() -> bool:
             states = [await BackendOrders(backend).inspect() for backend in self.backends]
@@ -68,11 +68,11 @@
             await wait_until(running, "all requests run")
             lost = await BackendOrders(self.backends[0]).inspect()
             self.backends[0].kill()
-        self.assertEqual(ends["GET"], ["answered"] * 4)
+        self.assertEqual(outcomes["GET"], ["answered"] * 4)
         keyed = sum(1 for run in lost.runs if run.key)
-        self.assertEqual(sorted(ends["POST"]), ["answered"] * (4 - keyed) + ["unknown"] * keyed)
+        self.assertEqual(sorted(outcomes["POST"]), ["answered"] * (4 - keyed) + ["unknown"] * keyed)
 
-    async def test_a_frozen_backend_server_costs_no_repeatable_request(self) -> None:
+    async def test_a_frozen_backend_server_fails_no_idempotent_request(self) -> None:
         await self.start_cluster(one_pool(3, 0), backends=3, entry={"eject_s": "60"})
         self.backends[0].send_signal(signal.SIGSTOP)
         self.assertEqual(set(await self.get_all(20)), {"answered"})
@@ -84,21 +84,21 @@
         for backend in self.backends[::2]:
             backend.send_signal(signal.SIGSTOP)
         self.assertEqual(set(await self.get_all(20)), {"answered"})
-        answer = await self.post(self.entries[0], "k1")
-        self.assertEqual(outcome_of(answer), "unknown")
+        response = await self.post(self.entries[0], "k1")
+        self.assertEqual(outcome_of(response), "unknown")
 
-    async def test_a_hang_is_over_when_it_is_over(self) -> None:
+    async def test_a_backend_server_is_used_again_after_a_hang(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         backend = BackendOrders(self.backends[0])
         await backend.give(BackendOrder(fault=BackendFault.HANG))
         headers = {"pumicespur-timeout-ms": "300"}
         for _ in range(3):
-            answer = await self.http.get(f"{self.entries[0].url}/issuance/x", headers=headers)
-            self.assertEqual(outcome_of(answer), "unknown")
+            response = await self.http.get(f"{self.entries[0].url}/issuance/x", headers=headers)
+            self.assertEqual(outcome_of(response), "unknown")
         await backend.give(BackendOrder())
         self.assertEqual(await self.get_all(3), ["answered"] * 3)
 
-    async def test_a_backend_server_that_comes_back_is_used_again(self) -> None:
+    async def test_a_backend_server_is_used_again_after_a_reboot(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1, entry={"eject_s": "0.1"})
         await BackendOrders(self.backends[0]).give(BackendOrder(reboot_ms=500))
 
@@ -110,13 +110,14 @@
 
 
 class TestCallerFaults(ClusterCase):
-    """Callers that are slow, go away, or come all at once."""
+    """Callers that are slow, disconnect, or arrive all at once."""
 
     async def connect(self) -> anyio.abc.SocketStream:
+        """Open a plain connection to the first entry."""
         host, _, port = self.entries[0].ready["listen"].rpartition(":")
         return await anyio.connect_tcp(host, int(port))
 
-    async def test_slow_callers_hold_up_nobody(self) -> None:
+    async def test_slow_callers_do_not_delay_others(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         slow = [await self.connect() for _ in range(100)]
         for stream in slow[:50]:
@@ -126,8 +127,8 @@
                 b"PUT /issuance/x HTTP/1.1\r\nhost: x\r\npumicespur-timeout-ms: 300\r\n"
                 b"content-length: 10\r\n\r\n123"
             )
-        answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-        self.assertEqual(answer.status_code, 200)
+        response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+        self.assertEqual(response.status_code, 200)
         head = await slow[-1].receive()
         self.assertIn(b" 408 ", head)
         self.assertIn(b"pumicespur-outcome: not-run", head)
@@ -139,7 +140,7 @@
 
         await wait_until(idle, "nothing is held for slow callers")
 
-    async def test_a_wave_of_cancellations_leaves_nothing_behind(self) -> None:
+    async def test_many_simultaneous_cancellations_leave_no_requests_behind(self) -> None:
         await self.start_cluster(one_pool(2, 0), backends=2)
         for backend in self.backends:
             await BackendOrders(backend).give(BackendOrder(delay_ms=300))
@@ -165,5 +166,5 @@
             self.assertLessEqual(await self.runs(f"k{number}"), 1)
         for backend in self.backends:
             await BackendOrders(backend).give(BackendOrder())
-        answer = await self.post(entry, "after")
-        self.assertEqual(outcome_of(answer), "answered")
+        response = await self.post(entry, "after")
+        self.assertEqual(outcome_of(response), "answered")
--- a/tests/test_request_path.py
+++ b/tests/test_request_path.py
@@ -1,4 +1,4 @@
-"""Tests of the request path on real processes: its promises, and the faults they meet."""
+"""Tests of the request path on real processes: its guarantees, also under faults."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from tests.base import ClusterCase, make_pool, one_pool, outcome_of
 
 
-class TestAnswers(ClusterCase):
-    """Every caller receives the whole answer to its own request, and only that."""
+class TestResponses(ClusterCase):
+    """Every caller receives the whole response to its own request, and only that."""
 
-    async def test_answers_and_refusals_name_their_outcome(self) -> None:
+    async def test_responses_and_refusals_name_their_outcome(self) -> None:
         await self.start_cluster(one_pool(2, 1), backends=2)
         url = self.entries[0].url
         cases = [
@@ -32,37 +32,37 @@
         ]
         for method, path, headers, status, outcome in cases:
             with self.subTest(method=method, path=path, headers=headers):
-                answer = await self.http.request(method, url + path, headers=headers)
-                self.assertEqual((answer.status_code, outcome_of(answer)), (status, outcome))
+                response = await self.http.request(method, url + path, headers=headers)
+                self.assertEqual((response.status_code, outcome_of(response)), (status, outcome))
         too_large = await self.http.put(f"{url}/issuance/x", content=b"x" * 2_000_000)
         self.assertEqual((too_large.status_code, outcome_of(too_large)), (413, "not-run"))
 
-    async def test_faulty_answers_never_reach_a_caller(self) -> None:
+    async def test_faulty_responses_never_reach_a_caller(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         backend = BackendOrders(self.backends[0])
         for fault in (BackendFault.TRUNCATE, BackendFault.SWAP, BackendFault.CLOSE):
             with self.subTest(fault=fault):
                 await backend.give(BackendOrder(fault=fault, count=1))
                 key = uuid.uuid4().hex
-                answer = await self.post(self.entries[0], key)
-                self.assertEqual((answer.status_code, outcome_of(answer)), (502, "unknown"))
+                response = await self.post(self.entries[0], key)
+                self.assertEqual((response.status_code, outcome_of(response)), (502, "unknown"))
                 self.assertEqual(await self.runs(key), 1)
 
-    async def test_a_repeatable_request_outlives_a_faulty_answer(self) -> None:
+    async def test_an_idempotent_request_survives_a_faulty_response(self) -> None:
         await self.start_cluster(one_pool(2, 1), backends=2)
         for fault in (BackendFault.TRUNCATE, BackendFault.SWAP, BackendFault.CLOSE):
             for backend in self.backends:
                 await BackendOrders(backend).give(BackendOrder(fault=fault, count=1))
-            answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-            self.assertEqual(answer.status_code, 200, fault)
+            response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+            self.assertEqual(response.status_code, 200, fault)
 
-    async def test_the_target_is_passed_on_as_it_was_written(self) -> None:
+    async def test_the_target_is_forwarded_unchanged(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         for target in ("/a%2Fb%3Fc?d=%20e", "/", "/x?y", "/%C3%A9"):
-            answer = await self.http.get(f"{self.entries[0].url}/issuance{target}")
-            self.assertEqual(answer.json()["target"], target)
+            response = await self.http.get(f"{self.entries[0].url}/issuance{target}")
+            self.assertEqual(response.json()["target"], target)
 
-    async def test_a_kept_connection_is_not_closed_without_notice(self) -> None:
+    async def test_a_keep_alive_connection_is_not_closed_without_notice(self) -> None:
         """Hypercorn's default closes a connection silently after 1,000 requests."""
         await self.start_cluster(one_pool(1, 0), backends=1)
         host, _, port = self.entries[0].ready["listen"].rpartition(":")
@@ -74,14 +74,14 @@
                 length = int(head.split(b"content-length: ")[1].split(b"\r\n")[0])
                 await reader.receive_exactly(length)
 
-    async def test_many_callers_get_their_own_answers(self) -> None:
+    async def test_many_callers_get_their_own_responses(self) -> None:
         await self.start_cluster(one_pool(2, 1), backends=2)
         wrong: list[str] = []
 
         async def call(number: int) -> None:
-            answer = await self.post(self.entries[0], f"key-{number}")
-            if answer.status_code != 200 or answer.json()["key"] != f"key-{number}":
-                wrong.append(answer.text)
+            response = await self.post(self.entries[0], f"key-{number}")
+            if response.status_code != 200 or response.json()["key"] != f"key-{number}":
+                wrong.append(response.text)
 
         async with anyio.create_task_group() as tasks:
             for number in range(60):
@@ -90,21 +90,21 @@
 
 
 class TestAtMostOnce(ClusterCase):
-    """A not-repeatable request runs at most once, and "not run" is only said when so."""
+    """A request with a key runs at most once, and "not run" is reported only if it is final."""
 
-    async def test_a_repeat_through_another_entry_gets_the_kept_answer(self) -> None:
+    async def test_a_repeat_through_another_entry_gets_the_stored_response(self) -> None:
         await self.start_cluster(one_pool(2, 1), backends=2, entries=2)
         first = await self.post(self.entries[0], "k1")
 
-        async def kept() -> bool:
+        async def stored() -> bool:
             return outcome_of(await self.post(self.entries[1], "k1")) == "answered"
 
-        await wait_until(kept, "the answer is kept")
+        await wait_until(stored, "the response is stored")
         again = await self.post(self.entries[1], "k1")
         self.assertEqual(again.content, first.content)
         self.assertEqual(await self.runs("k1"), 1)
 
-    async def test_a_key_is_not_taken_for_another_request(self) -> None:
+    async def test_a_key_can_not_be_reused_for_another_request(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         await self.post(self.entries[0], "k1")
         headers = {"idempotency-key": "k1"}
@@ -137,24 +137,24 @@
         for fault in (PlatformFault.REFUSE, PlatformFault.HANG):
             with self.subTest(fault=fault):
                 await self.orders.fail(fault)
-                answer = await self.post(self.entries[0], f"k{fault}")
-                self.assertEqual((answer.status_code, outcome_of(answer)), (503, "unknown"))
-                self.assertIn("retry-after", answer.headers)
+                response = await self.post(self.entries[0], f"k{fault}")
+                self.assertEqual((response.status_code, outcome_of(response)), (503, "unknown"))
+                self.assertIn("retry-after", response.headers)
                 live = await self.http.get(f"{self.entries[0].url}/issuance/x")
                 self.assertEqual(live.status_code, 200)
                 await self.orders.heal()
                 self.assertEqual(await self.runs(f"k{fault}"), 0)
 
-    async def test_a_claim_whose_answer_was_lost_is_settled(self) -> None:
+    async def test_a_claim_whose_response_was_lost_is_resolved(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         for number in range(3):
             await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=1)
-            answer = await self.post(self.entries[0], f"k{number}")
-            self.assertEqual(outcome_of(answer), "answered")
+            response = await self.post(self.entries[0], f"k{number}")
+            self.assertEqual(outcome_of(response), "answered")
             self.assertEqual(await self.runs(f"k{number}"), 1)
 
     async def test_not_run_is_final_for_its_key(self) -> None:
-        """A refused key stays refused, so that a late second delivery can't run."""
+        """A refused key stays refused, so that a delayed second delivery can't run."""
         await self.start_cluster(one_pool(1, 0), backends=1, entries=2)
         await BackendOrders(self.backends[0]).give(BackendOrder(fault=BackendFault.FAIL, count=8))
         refused = await self.post(self.entries[0], "k1")
@@ -164,7 +164,7 @@
         self.assertEqual(outcome_of(again), "not-run")
         self.assertEqual(await self.runs("k1"), 0)
 
-    async def test_a_refusal_before_the_claim_looks_for_an_earlier_delivery(self) -> None:
+    async def test_a_refusal_before_the_claim_checks_for_an_earlier_delivery(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1, entries=2)
         await self.post(self.entries[0], "k1")
         self.entries[1].send_signal(signal.SIGTERM)
@@ -176,7 +176,7 @@
         again = await self.post(self.entries[1], "k1")
         self.assertNotEqual(outcome_of(again), "not-run")
 
-    async def test_a_refusal_that_looks_at_no_row_never_says_not_run(self) -> None:
+    async def test_a_refusal_without_a_check_of_the_row_never_says_not_run(self) -> None:
         """An earlier delivery of the key may have run, whatever is wrong with this one."""
         limits = {"max_connections": "1", "max_body_bytes": "100"}
         await self.start_cluster(one_pool(1, 0), backends=1, entry=limits)
@@ -198,7 +198,7 @@
         self.assertEqual((full.status_code, outcome_of(full)), (503, "unknown"))
         self.assertEqual((plain.status_code, outcome_of(plain)), (503, "not-run"))
 
-    async def test_a_frozen_entry_that_wakes_up_runs_nothing_twice(self) -> None:
+    async def test_a_suspended_entry_that_resumes_runs_nothing_twice(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1, entries=2)
         await BackendOrders(self.backends[0]).give(BackendOrder(delay_ms=300))
         async with anyio.create_task_group() as tasks:
@@ -215,39 +215,39 @@
 
 
 class TestLeaving(ClusterCase):
-    """A leaving backend server gets no new work, and a stop cuts nothing."""
+    """A leaving backend server gets no new requests, and a planned stop interrupts none."""
 
-    async def test_a_drained_instance_gets_no_new_work(self) -> None:
+    async def test_a_drained_instance_gets_no_new_requests(self) -> None:
         await self.start_cluster(one_pool(3, 1), backends=3)
         await self.operator.drain(DrainRequest(instance="b0"))
 
-        async def left() -> bool:
+        async def routes_updated() -> bool:
             return await self.routes(self.entries[0])
 
-        await wait_until(left, "the entry has the drain")
+        await wait_until(routes_updated, "the entry has applied the drain")
         backend = BackendOrders(self.backends[0])
         before = len((await backend.inspect()).runs)
         for _ in range(30):
             await self.http.get(f"{self.entries[0].url}/issuance/x")
         self.assertEqual(len((await backend.inspect()).runs), before)
 
-    async def test_leaving_is_learnt_from_answers_alone(self) -> None:
+    async def test_leaving_is_learnt_from_responses_alone(self) -> None:
         await self.start_cluster(one_pool(2, 0), backends=2)
         await self.orders.fail(PlatformFault.REFUSE)
         await BackendOrders(self.backends[0]).give(BackendOrder(drain=True))
         for _ in range(20):
-            answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-            self.assertEqual(answer.status_code, 200)
+            response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+            self.assertEqual(response.status_code, 200)
         pools = self.entries[0].describe()["pools"]
         self.assertTrue(pools["issuance"]["backends"]["b0"]["leaving"])
 
-    async def test_a_planned_stop_cuts_no_request(self) -> None:
+    async def test_a_planned_stop_interrupts_no_request(self) -> None:
         await self.start_cluster(one_pool(1, 0), backends=1)
         await BackendOrders(self.backends[0]).give(BackendOrder(delay_ms=1500))
-        answers = []
+        responses = []
 
         async def call() -> None:
-            answers.append(await self.http.get(f"{self.entries[0].url}/issuance/x"))
+            responses.append(await self.http.get(f"{self.entries[0].url}/issuance/x"))
 
         async def running() -> bool:
             return (await BackendOrders(self.backends[0]).inspect()).running == 5
@@ -257,34 +257,34 @@
                 tasks.start_soon(call)
             await wait_until(running, "requests run")
             self.entries[0].send_signal(signal.SIGTERM)
-        self.assertEqual([answer.status_code for answer in answers], [200] * 5)
+        self.assertEqual([response.status_code for response in responses], [200] * 5)
         self.assertEqual(self.entries[0].process.wait(20), 0, self.launcher.errors())
 
 
 class TestFailing(ClusterCase):
-    """Backend servers that fail harm neither their pool nor the others."""
+    """Failing backend servers disturb neither their pool nor other pools."""
 
-    async def test_one_that_fails_everything_is_left_out(self) -> None:
+    async def test_a_backend_server_that_fails_every_request_is_ejected(self) -> None:
         await self.start_cluster(one_pool(3, 1), backends=3, entry={"eject_s": "60"})
         await BackendOrders(self.backends[0]).give(BackendOrder(fault=BackendFault.FAIL))
         for _ in range(60):
-            answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-            self.assertEqual(answer.status_code, 200)
+            response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+            self.assertEqual(response.status_code, 200)
         dump = self.entries[0].describe()
         self.assertGreater(dump["pools"]["issuance"]["backends"]["b0"]["ejected_s"], 0)
         self.assertLessEqual(dump["requests"]["retries"], 10)
 
-    async def test_a_dead_rack_causes_no_storm(self) -> None:
+    async def test_a_failed_rack_causes_no_retry_storm(self) -> None:
         await self.start_cluster(one_pool(4, 0), backends=4, entry={"eject_s": "60"})
         for backend in self.backends[:2]:
             backend.kill()
         for _ in range(60):
-            answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-            self.assertEqual(answer.status_code, 200)
+            response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+            self.assertEqual(response.status_code, 200)
         counts = self.entries[0].describe()["requests"]
         self.assertLessEqual(counts["attempts"], 60 + 10 + 6)
 
-    async def test_team_quota_is_told_at_once(self) -> None:
+    async def test_a_request_beyond_the_team_quota_is_refused_at_once(self) -> None:
         team = Team(id="ann", max_requests=1)
         declaration = Declaration(pools=[make_pool("issuance", 1, 0)], teams=[team])
         await self.start_cluster(declaration, backends=1)
@@ -302,15 +302,15 @@
         self.assertEqual((second.status_code, outcome_of(second)), (429, "not-run"))
         self.assertIn("retry-after", second.headers)
 
-    async def test_a_full_queue_is_refused_at_once(self) -> None:
+    async def test_a_request_to_a_full_queue_is_refused_at_once(self) -> None:
         limits = {"max_queue": "2", "backend_connections": "1", "entries": "1"}
         await self.start_cluster(one_pool(1, 0), backends=1, entry=limits)
         await BackendOrders(self.backends[0]).give(BackendOrder(delay_ms=1000))
         outcomes: list[str] = []
 
         async def call() -> None:
-            answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-            outcomes.append(outcome_of(answer))
+            response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+            outcomes.append(outcome_of(response))
 
         async with anyio.create_task_group() as tasks:
             for _ in range(6):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of choosing and queueing, against naive versions."""
+"""Tests of backend server selection, queueing and the retry budget."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def make_request(urgency: Urgency = Urgency.LIVE, seconds: float = 60) -> CallerRequest:
-    """Make a repeatable request."""
+    """Make an idempotent request."""
     return CallerRequest(
         id="r",
         pool=PoolId("p"),
@@ -46,14 +46,14 @@
 
 
 class TestPick(unittest.TestCase):
-    """The choice is one that a plain search would allow."""
+    """The selected backend server is one that a search over the whole pool would allow."""
 
     @given(
         st.lists(
             st.tuples(st.integers(0, LIMIT), st.booleans(), st.booleans()), max_size=3 * SAMPLE_SIZE
         )
     )
-    def test_a_choice_has_room_and_is_not_leaving(
+    def test_the_selected_one_has_free_capacity_and_is_not_leaving(
         self, states: list[tuple[int, bool, bool]]
     ) -> None:
         backends = []
@@ -73,7 +73,7 @@
         if len(backends) <= SAMPLE_SIZE and not chosen.ejected:
             self.assertEqual(chosen.load(), min(b.load() for b in usable))
 
-    def test_a_pool_whose_every_member_failed_is_still_tried(self) -> None:
+    def test_a_pool_whose_backend_servers_are_all_ejected_is_still_used(self) -> None:
         backends = [make_backend(f"b{n}") for n in range(4)]
         for backend in backends:
             for _ in range(SETTINGS.eject_after):
@@ -81,7 +81,7 @@
         self.assertTrue(all(backend.ejected for backend in backends))
         self.assertIsNotNone(pick_least_loaded(backends))
 
-    def test_one_already_tried_is_avoided_while_another_is_there(self) -> None:
+    def test_a_tried_backend_server_is_avoided_while_another_is_eligible(self) -> None:
         backends = [make_backend("a"), make_backend("b", 1)]
         chosen = pick_least_loaded(backends, {"a"})
         assert chosen is not None
@@ -89,14 +89,14 @@
 
 
 class TestQueue(unittest.TestCase):
-    """Room is never given twice, live goes first, and batch is not starved."""
+    """Capacity is never granted twice, live goes first, and batch is not starved."""
 
     @settings(deadline=None, max_examples=40)
     @given(
         st.lists(st.sampled_from([Urgency.LIVE, Urgency.BATCH]), min_size=1, max_size=30),
         st.integers(1, 3),
     )
-    def test_all_are_served_and_no_limit_is_passed(
+    def test_all_requests_are_served_and_no_limit_is_exceeded(
         self, urgencies: list[Urgency], servers: int
     ) -> None:
         order: list[Urgency] = []
@@ -121,7 +121,7 @@
         self.assertEqual(sorted(order), sorted(urgencies))
         self.assertEqual([backend.in_flight for backend in backends], [0] * servers)
 
-    def test_batch_gets_a_share_while_live_never_ends(self) -> None:
+    def test_batch_requests_get_a_share_while_live_ones_keep_waiting(self) -> None:
         granted: list[Urgency] = []
 
         async def main() -> None:
@@ -164,8 +164,8 @@
         assert isinstance(refusal, Refusal)
         self.assertEqual(refusal.reason, "deadline can't be met")
 
-    def test_a_slow_past_does_not_refuse_a_request_that_can_start_now(self) -> None:
-        """Otherwise nothing would run any more to show that things are better again."""
+    def test_a_long_service_time_does_not_refuse_a_request_that_can_start_now(self) -> None:
+        """Otherwise no request would run, and the average service time would never fall."""
 
         async def main() -> bool:
             queue = PoolQueue(100)
@@ -175,7 +175,7 @@
 
         self.assertTrue(anyio.run(main))
 
-    def test_a_cancelled_wait_leaves_no_trace(self) -> None:
+    def test_a_cancelled_wait_leaves_no_waiter_and_no_capacity_taken(self) -> None:
         async def main() -> tuple[int, int]:
             queue = PoolQueue(100)
             backend = make_backend("b", LIMIT)
@@ -189,10 +189,10 @@
 
 
 class TestRetryBudget(unittest.TestCase):
-    """Retries stay a share of first attempts, whatever the order."""
+    """Retries stay within a share of first attempts, in any order of events."""
 
     @given(st.lists(st.booleans(), max_size=200), st.floats(0, 1))
-    def test_spent_never_passes_the_share(self, retries: list[bool], share: float) -> None:
+    def test_retries_never_exceed_the_share(self, retries: list[bool], share: float) -> None:
         budget = RetryBudget(share)
         first = spent = 0
         for wants_retry in retries:
