--- a/pumicespur/processes/_manager.py
+++ b/pumicespur/processes/_manager.py
@@ -81,7 +81,7 @@
 
     def measure(self) -> dict[str, float]:
         """Return the values of the metrics page by metric name."""
-        figures = super().measure() | {
+        values = super().measure() | {
             "lease_held": float(self.lease.held),
             "lease_epoch": self.lease.epoch,
             "planning_rounds_total": self.planner.rounds,
@@ -89,10 +89,10 @@
         }
         pools = measure_pools(self.replica.fleet, self.planner.listing.instances)
         for pool in pools:
-            figures[f"pool_available_{_metric_name_part(pool.pool)}"] = pool.available
-            figures[f"pool_minimum_{_metric_name_part(pool.pool)}"] = pool.min_available
-            figures[f"pool_buffer_{_metric_name_part(pool.pool)}"] = pool.buffer
-        return figures
+            values[f"pool_available_{_metric_name_part(pool.pool)}"] = pool.available
+            values[f"pool_minimum_{_metric_name_part(pool.pool)}"] = pool.min_available
+            values[f"pool_buffer_{_metric_name_part(pool.pool)}"] = pool.buffer
+        return values
 
 
 def _metric_name_part(name: str) -> str:
--- a/pumicespur/processes/_process.py
+++ b/pumicespur/processes/_process.py
@@ -39,10 +39,10 @@
         self.started_at = monotonic()
         self.platform = PlatformClient(settings.platform)
         self.replica = Replica(Log(self.platform))
-        me = Member(id=settings.process.id, role=role, data_hall=settings.process.data_hall)
-        self.members = MemberList(self.platform, me)
+        own_member = Member(id=settings.process.id, role=role, data_hall=settings.process.data_hall)
+        self.members = MemberList(self.platform, own_member)
         self.peers = PeerNetwork(settings.process, self.members, self.replica, self.dump)
-        me.peer_address = self.peers.address
+        own_member.peer_address = self.peers.address
         self.stop = anyio.Event()
         self.stopping = False
         self.admin_socket = listen(settings.process.admin_listen)
@@ -146,20 +146,24 @@
             case "/health":
                 health = self.health()
                 status = 200 if health == HEALTHY else 503
-                await _write(send, status, "text/plain", f"{health}\n".encode())
+                await _send_response(send, status, "text/plain", f"{health}\n".encode())
             case "/metrics":
                 content, headers = self._render_metrics()
-                await _write(send, 200, headers["Content-Type"], content)
+                await _send_response(send, 200, headers["Content-Type"], content)
             case "/dump":
-                await _write(send, 200, "application/json", self.dump().encode())
+                await _send_response(send, 200, "application/json", self.dump().encode())
             case _:
-                await _write(send, 404, "text/plain", b"known are /health, /metrics and /dump\n")
+                await _send_response(
+                    send, 404, "text/plain", b"known are /health, /metrics and /dump\n"
+                )
 
     def _render_metrics(self) -> tuple[bytes, dict[str, str]]:
         for name, value in self.measure().items():
             if name not in self.gauges:
-                full = f"pumicespur_{name}"
-                self.gauges[name] = Gauge(full, name.replace("_", " "), registry=self.metrics)
+                metric_name = f"pumicespur_{name}"
+                self.gauges[name] = Gauge(
+                    metric_name, name.replace("_", " "), registry=self.metrics
+                )
             self.gauges[name].set({"process": self.settings.process.id}, value)
         return render(self.metrics, ["text/plain"])
 
@@ -168,7 +172,7 @@
     return json.loads(message.to_json())
 
 
-async def _write(
+async def _send_response(
     send: Callable[[dict[str, Any]], Awaitable[None]], status: int, kind: str, body: bytes
 ) -> None:
     headers = [(b"content-type", kind.encode()), (b"content-length", str(len(body)).encode())]
--- a/pumicespur/routing/_at_most_once.py
+++ b/pumicespur/routing/_at_most_once.py
@@ -31,7 +31,8 @@
     from pumicespur.routing._queue import PoolQueue, Refusal
 
 RESPONSE_MARGIN_S = 0.05
-"""Time reserved of the wait for a claim, to send the response before the deadline."""
+"""Time before the deadline at which the wait for a claim ends, so that a response can still be
+sent; also the minimum wait."""
 
 
 class AtMostOnceRequests:
@@ -79,17 +80,17 @@
         return result
 
     def _store_response(
-        self, request: CallerRequest, claim: Claim, version: int, answer: Answered
+        self, request: CallerRequest, claim: Claim, version: int, response: Answered
     ) -> None:
         """Submit the response for the key's row, without making the caller wait for the write."""
-        kept = len(answer.body) <= self.attempts.settings.max_kept_answer_bytes
+        kept = len(response.body) <= self.attempts.settings.max_kept_answer_bytes
         completed = replace_fields(
             claim,
             state=ClaimState.DONE,
-            status=answer.status,
-            content_type=dict(answer.headers).get("content-type", ""),
+            status=response.status,
+            content_type=dict(response.headers).get("content-type", ""),
             body_kept=kept,
-            body=answer.body if kept else b"",
+            body=response.body if kept else b"",
         )
         self.claims.submit(self._claim_key(request), completed, version)
 
@@ -98,7 +99,7 @@
     ) -> Outcome:
         """Mark the key as not run; return NotRun only if the row was written, else Unknown.
 
-        From then on no delivery of the key can run.
+        Once the row is written, no delivery of the key can run.
         """
         not_run = replace_fields(claim, state=ClaimState.NOT_RUN)
         match await self.claims.write(
--- a/pumicespur/routing/_claims.py
+++ b/pumicespur/routing/_claims.py
@@ -180,8 +180,8 @@
     ) -> list[PendingClaim]:
         """Resolve the claims whose rows conflicted; return those still to be written."""
         conflicting = [pending for pending in group if pending.key in keys]
-        answer = await self.platform.read([pending.key for pending in conflicting])
-        match answer:
+        response = await self.platform.read([pending.key for pending in conflicting])
+        match response:
             case Result(tag="ok", ok=rows):
                 for pending, row in zip(conflicting, rows, strict=True):
                     self._resolve_conflict(pending, row)
