--- a/pumicespur/processes/_common.py
+++ b/pumicespur/processes/_process.py
@@ -1,4 +1,4 @@
-"""What both roles have: the platform, the replica, peers, and the admin address."""
+"""The base class of both roles: platform client, replica, peers and admin endpoints."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Process:
-    """The parts that both roles share."""
+    """The components and tasks that both roles share."""
 
     def __init__(self, settings: Settings, role: Role) -> None:
         self.settings = settings
@@ -39,10 +39,10 @@
         self.started_at = monotonic()
         self.platform = PlatformClient(settings.platform)
         self.replica = Replica(Log(self.platform))
-        me = Member(id=settings.process.id, role=role, data_hall=settings.process.data_hall)
-        self.members = MemberList(self.platform, me)
+        own_member = Member(id=settings.process.id, role=role, data_hall=settings.process.data_hall)
+        self.members = MemberList(self.platform, own_member)
         self.peers = PeerNetwork(settings.process, self.members, self.replica, self.dump)
-        me.peer_address = self.peers.address
+        own_member.peer_address = self.peers.address
         self.stop = anyio.Event()
         self.stopping = False
         self.admin_socket = listen(settings.process.admin_listen)
@@ -52,7 +52,7 @@
     async def run_shared(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run the shared tasks until cancelled; started once signals are caught."""
+        """Run the shared tasks until cancelled; report started once signals are handled."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(stop_on_signals, self.stop, self.dump)
             task_status.started()
@@ -62,7 +62,7 @@
             tasks.start_soon(serve_app, self.admin, hypercorn_config(self.admin_socket))
 
     def addresses(self) -> dict[str, str]:
-        """Return where this process listens."""
+        """Return the process's id and role, and the addresses at which it listens."""
         return {
             "process": self.settings.process.id,
             "role": self.role.name.lower(),
@@ -114,7 +114,7 @@
         return shown
 
     def health(self) -> str:
-        """Return how the process is, for the balancer; HEALTHY if it takes requests."""
+        """Return the health status for the load balancer; HEALTHY if requests are accepted."""
         if self.stopping:
             return "stopping"
         if not self.replica.revision:
@@ -122,7 +122,7 @@
         return HEALTHY
 
     def measure(self) -> dict[str, float]:
-        """Return the figures for the metrics page; roles add theirs."""
+        """Return the values of the metrics page by metric name; roles add their own."""
         return {
             "revision": self.replica.revision,
             "store_silent_seconds": self.platform.silent_s(),
@@ -146,20 +146,24 @@
             case "/health":
                 health = self.health()
                 status = 200 if health == HEALTHY else 503
-                await _write(send, status, "text/plain", f"{health}\n".encode())
+                await _send_response(send, status, "text/plain", f"{health}\n".encode())
             case "/metrics":
                 content, headers = self._render_metrics()
-                await _write(send, 200, headers["Content-Type"], content)
+                await _send_response(send, 200, headers["Content-Type"], content)
             case "/dump":
-                await _write(send, 200, "application/json", self.dump().encode())
+                await _send_response(send, 200, "application/json", self.dump().encode())
             case _:
-                await _write(send, 404, "text/plain", b"known are /health, /metrics and /dump\n")
+                await _send_response(
+                    send, 404, "text/plain", b"known are /health, /metrics and /dump\n"
+                )
 
     def _render_metrics(self) -> tuple[bytes, dict[str, str]]:
         for name, value in self.measure().items():
             if name not in self.gauges:
-                full = f"pumicespur_{name}"
-                self.gauges[name] = Gauge(full, name.replace("_", " "), registry=self.metrics)
+                metric_name = f"pumicespur_{name}"
+                self.gauges[name] = Gauge(
+                    metric_name, name.replace("_", " "), registry=self.metrics
+                )
             self.gauges[name].set({"process": self.settings.process.id}, value)
         return render(self.metrics, ["text/plain"])
 
@@ -168,7 +172,7 @@
     return json.loads(message.to_json())
 
 
-async def _write(
+async def _send_response(
     send: Callable[[dict[str, Any]], Awaitable[None]], status: int, kind: str, body: bytes
 ) -> None:
     headers = [(b"content-type", kind.encode()), (b"content-length", str(len(body)).encode())]
