--- a/pumicespur/node/_ownership_controller.py
+++ b/pumicespur/node/_ownership_controller.py
@@ -18,7 +18,7 @@
 from pumicespur.model import PoolId, ProcessId
 from pumicespur.node._heartbeats import HeartbeatWriter
 from pumicespur.node._owned_roles import OwnedRoles
-from pumicespur.node._previous_owners import PreviousOwners
+from pumicespur.node._predecessors import Predecessors
 from pumicespur.node._process_tracker import ProcessTracker
 from pumicespur.node._takeover_policy import TakeoverPolicy
 from pumicespur.schema.jobs_pb import OwnerRecord
@@ -69,14 +69,14 @@
         self.started_at = monotonic()
         self.roles = OwnedRoles()
         self.heartbeats = HeartbeatWriter(settings, view, table, self.roles, incarnation)
-        self.previous_owners = PreviousOwners(settings, view, table.clock)
+        self.predecessors = Predecessors(settings, view, table.clock)
         self.tracker = ProcessTracker(
             settings,
             view,
             table,
             self.roles,
             self.heartbeats,
-            self.previous_owners,
+            self.predecessors,
             self.request_check,
         )
         self.takeover_policy = TakeoverPolicy(
@@ -176,7 +176,7 @@
         record = OwnerRecord(
             process=self.me,
             incarnation=self.incarnation,
-            leases_until_ms=self.previous_owners.leases_until_ms(pool, owner, monotonic()),
+            leases_until_ms=self.predecessors.leases_until_ms(pool, owner, monotonic()),
         )
         transaction = Transaction(
             [Condition(owner_key(pool), owner.token)],
@@ -211,7 +211,7 @@
                 self.heartbeats.expedite_report,
             )
         else:
-            earlier = self.previous_owners.track_leases(pool, previous, now)
+            earlier = self.predecessors.track_leases(pool, previous, now)
             owner = PoolOwner(
                 self.settings,
                 self.view,
--- a/pumicespur/node/_previous_owners.py
+++ b/pumicespur/node/_predecessors.py
@@ -23,7 +23,7 @@
 """Margin on the longest lease of a previous owner, for late timers and a stop under way."""
 
 
-class PreviousOwners:
+class Predecessors:
     """The previous owners of the pools that this process took over."""
 
     def __init__(self, settings: NodeSettings, view: NodeView, clock: StoreClock) -> None:
--- a/pumicespur/node/_process_tracker.py
+++ b/pumicespur/node/_process_tracker.py
@@ -30,7 +30,7 @@
     from pumicespur.model import Route
     from pumicespur.node._heartbeats import HeartbeatWriter
     from pumicespur.node._owned_roles import OwnedRoles
-    from pumicespur.node._previous_owners import PreviousOwners
+    from pumicespur.node._predecessors import Predecessors
     from pumicespur.platform import PlatformTable
     from pumicespur.store import Fault, Row, StoreClock
     from pumicespur.view import NodeView
@@ -72,7 +72,7 @@
         table: PlatformTable,
         roles: OwnedRoles,
         heartbeats: HeartbeatWriter,
-        previous_owners: PreviousOwners,
+        predecessors: Predecessors,
         request_check: Callable[[], None],
     ) -> None:
         self.settings = settings
@@ -80,7 +80,7 @@
         self.table = table
         self.roles = roles
         self.heartbeats = heartbeats
-        self.previous_owners = previous_owners
+        self.predecessors = predecessors
         self.request_check = request_check
         """Requests a check of the pools' owners."""
         self.heartbeats_received_at = monotonic()
@@ -191,7 +191,7 @@
         if known is not None and row.version <= known.version:
             return
         self.view.processes[process] = SeenProcess(heartbeat, now, row.version)
-        self.previous_owners.apply_heartbeat(self.view.processes[process], now)
+        self.predecessors.apply_heartbeat(self.view.processes[process], now)
 
     def _check_configuration_version(self, newest: int, now: float) -> None:
         """Renew pending reads if another process has a configuration that this one lacks.
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -240,7 +240,7 @@
     """Tests of workers that stop responding."""
 
     async def silence(self, name: str) -> None:
-        """Silence a worker; each of its tasks has to run once elsewhere, and no other task again."""
+        """Silence a worker and check that exactly its tasks run once elsewhere."""
         silent = self.world.workers[name]
         lost = sorted(silent.running)
         before = len(self.world.history)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -15,7 +15,7 @@
 from pumicespur.node._heartbeats import HeartbeatWriter
 from pumicespur.node._owned_roles import OwnedRoles
 from pumicespur.node._ownership_controller import STARTUP_DELAY_S, OwnershipController
-from pumicespur.node._previous_owners import PreviousOwners
+from pumicespur.node._predecessors import Predecessors
 from pumicespur.node._process_tracker import RENEWAL_INTERVAL_S, count_waiting
 from pumicespur.node._tables import HEARTBEATS_TABLE, PRESENCE_TABLE
 from pumicespur.node._takeover_policy import CANDIDATE_DELAY_S
@@ -180,7 +180,7 @@
         self.assertFalse(self.is_owner_alive(pool))
 
 
-class PreviousOwnersTest(unittest.TestCase):
+class PredecessorsTest(unittest.TestCase):
     """How long leases of previous owners are waited for."""
 
     def setUp(self) -> None:
@@ -202,10 +202,10 @@
         values = {"process": "before", "incarnation": "life"} | fields
         return SeenProcess(HeartbeatRecord(**values), NOW, version)
 
-    def take_over(self, owner: SeenOwner, now: float = NOW) -> tuple[PreviousOwners, EarlierLeases]:
+    def take_over(self, owner: SeenOwner, now: float = NOW) -> tuple[Predecessors, EarlierLeases]:
         """Take the pool over from an owner."""
-        previous_owners = PreviousOwners(self.settings, NodeView(), self.clock)
-        return previous_owners, previous_owners.track_leases(self.pool, owner, now)
+        predecessors = Predecessors(self.settings, NodeView(), self.clock)
+        return predecessors, predecessors.track_leases(self.pool, owner, now)
 
     def test_leases_of_an_owner_that_may_be_cut_off_are_waited_for(self) -> None:
         _, leases = self.take_over(self.make_owner())
@@ -228,21 +228,21 @@
         self.assertGreaterEqual(leases.until, waited.until)
 
     def test_later_incarnation_of_the_owner_shortens_the_wait(self) -> None:
-        previous_owners, leases = self.take_over(self.make_owner())
-        previous_owners.apply_heartbeat(self.make_heartbeat(11, incarnation="next"), NOW + 1.0)
+        predecessors, leases = self.take_over(self.make_owner())
+        predecessors.apply_heartbeat(self.make_heartbeat(11, incarnation="next"), NOW + 1.0)
         self.assertLess(leases.until, NOW + 6.0)
 
     def test_pool_given_up_shortens_the_wait(self) -> None:
-        previous_owners, leases = self.take_over(self.make_owner())
+        predecessors, leases = self.take_over(self.make_owner())
         given_up = [GivenUp(pool="main", fencing_token=10)]
-        previous_owners.apply_heartbeat(self.make_heartbeat(11, given_up=given_up), NOW + 1.0)
+        predecessors.apply_heartbeat(self.make_heartbeat(11, given_up=given_up), NOW + 1.0)
         self.assertLess(leases.until, NOW + 6.0)
 
     def test_heartbeat_from_before_the_ownership_does_not_shorten_the_wait(self) -> None:
-        previous_owners, leases = self.take_over(self.make_owner())
-        previous_owners.apply_heartbeat(self.make_heartbeat(9, incarnation="earlier"), NOW + 1.0)
+        predecessors, leases = self.take_over(self.make_owner())
+        predecessors.apply_heartbeat(self.make_heartbeat(9, incarnation="earlier"), NOW + 1.0)
         given_up = [GivenUp(pool="main", fencing_token=8)]
-        previous_owners.apply_heartbeat(self.make_heartbeat(11, given_up=given_up), NOW + 1.0)
+        predecessors.apply_heartbeat(self.make_heartbeat(11, given_up=given_up), NOW + 1.0)
         self.assertGreater(leases.until, NOW + 8.0 + 3.5)
 
 
