--- a/pumicespur/node/_heartbeats.py
+++ b/pumicespur/node/_heartbeats.py
@@ -18,7 +18,7 @@
     HEARTBEATS_TABLE,
     PRESENCE_TABLE,
     REPORTS_TABLE,
-    newest_key,
+    process_row_key,
 )
 from pumicespur.schema.jobs_pb import DutyReport, GivenUp, HeartbeatRecord
 from pumicespur.store import Transaction, Write
@@ -109,7 +109,7 @@
             configuration_version=max(0, self.view.configuration.version),
             given_up=[GivenUp(pool=p, fencing_token=t) for p, t in self.roles.given_up.items()],
         )
-        key = newest_key(HEARTBEATS_TABLE if for_all else PRESENCE_TABLE, self.me)
+        key = process_row_key(HEARTBEATS_TABLE if for_all else PRESENCE_TABLE, self.me)
         written = await self.table.transact(Transaction([], [Write(key, record.to_binary())]))
         if written.is_ok():
             self._note_written(monotonic(), written.ok)
@@ -152,17 +152,17 @@
                 await self.report_due.wait()
 
     async def _write_report(self) -> None:
-        fleet = self.roles.fleet_leader
+        leader = self.roles.fleet_leader
         now = monotonic()
         clock = self.table.clock
         record = DutyReport(
             process=self.me,
             pools=[owner.report() for owner in self.roles.pool_owners() if owner.ready],
-            evacuations=[] if fleet is None else list(fleet.evacuations()),
-            fleet_token=0 if fleet is None else fleet.ownership.token,
+            evacuations=[] if leader is None else list(leader.evacuations()),
+            fleet_token=0 if leader is None else leader.ownership.token,
             told_ms=clock.at_least_ms(now) if clock.known else 0,
         )
-        write = Write(newest_key(REPORTS_TABLE, self.me), record.to_binary())
+        write = Write(process_row_key(REPORTS_TABLE, self.me), record.to_binary())
         written = await self.table.transact(Transaction([], [write]))
         if written.is_error():
             log.warning("report failed", reason=str(written.error))
--- a/pumicespur/node/_inspection.py
+++ b/pumicespur/node/_inspection.py
@@ -32,7 +32,7 @@
 async def serve_inspection(address: str, process: InspectedProcess) -> ServerRunner:
     """Serve `/metrics` as text, `/state` and `/jobs/ID` as JSON at an IP number and port."""
 
-    async def answer(request: web.BaseRequest) -> web.StreamResponse:
+    async def respond(request: web.BaseRequest) -> web.StreamResponse:
         match request.path:
             case "/metrics":
                 content, headers = METRICS.page()
@@ -40,14 +40,14 @@
             case "/state":
                 return _as_json(process.describe())
             case path if path.startswith(JOBS_PATH):
-                return await _answer_job(process, path.removeprefix(JOBS_PATH))
+                return await _respond_with_job(process, path.removeprefix(JOBS_PATH))
             case _:
                 return web.Response(status=404)
 
-    return await listen_at(address, answer)
+    return await listen_at(address, respond)
 
 
-async def _answer_job(process: InspectedProcess, name: str) -> web.StreamResponse:
+async def _respond_with_job(process: InspectedProcess, name: str) -> web.StreamResponse:
     found = await process.describe_job(name)
     if found.is_error():
         return _as_json({"error": f"the store does not tell: {found.error}"}, status=503)
--- a/pumicespur/node/_ownership_controller.py
+++ b/pumicespur/node/_ownership_controller.py
@@ -116,7 +116,7 @@
         self.check_requested.set()
 
     def announce_configuration(self) -> None:
-        """Announce a new configuration if all processes follow this one's heartbeats."""
+        """Announce a new configuration if this process owns something, and check the pools."""
         if self.roles.owned:
             self.heartbeats.expedite()
         self.request_check()
--- a/pumicespur/node/_process.py
+++ b/pumicespur/node/_process.py
@@ -28,7 +28,7 @@
 from pumicespur.node._refusals import KeyRefusals
 from pumicespur.node._reload import SettingsFile
 from pumicespur.node._table_follower import RescanPolicy, TableFollower
-from pumicespur.node._tables import REPORTS_TABLE, newest_key
+from pumicespur.node._tables import REPORTS_TABLE, process_row_key
 from pumicespur.node._workers import WorkerList
 from pumicespur.platform import (
     CONFIGURATION_KEY,
@@ -69,7 +69,7 @@
 
 REFUSE_AFTER_S = 1.0
 """Time without the store after which callers are refused at once: two heartbeat intervals.
-Attempts bound to fail would only keep callers from going elsewhere."""
+Attempts that cannot succeed would only keep callers from trying elsewhere."""
 
 MAX_WAITING_AGE_S = 6.0
 """Age up to which an owner's report is used to count waiting jobs."""
@@ -80,7 +80,8 @@
 it is stored."""
 
 DEREGISTRATION_DELAY_S = 2.5
-"""Time in which the platform checks twice whether the process is ready, with one late response."""
+"""Time until the platform stops listing a stopping process: two readiness checks, one of them
+with a late response."""
 
 SHUTDOWN_RESERVE_S = 0.7
 """Part of the grace period reserved for the shutdown of the process itself."""
@@ -118,13 +119,13 @@
     async def run(self) -> None:
         """Serve until a signal requests a stop, then stop without losing anything."""
         settings = self.settings
-        self.store_caller = HttpCaller(STORE_CONNECTIONS)
-        self.order_caller = HttpCaller(ORDER_CONNECTIONS)
-        self.watch_caller = HttpCaller(WATCH_CONNECTIONS)
-        self.table = PlatformTable(settings.store, self.store_caller)
+        self.store_client = HttpCaller(STORE_CONNECTIONS)
+        self.order_client = HttpCaller(ORDER_CONNECTIONS)
+        self.watch_client = HttpCaller(WATCH_CONNECTIONS)
+        self.table = PlatformTable(settings.store, self.store_client)
         self.jobs = JobService(self.table, self.view.other_pools)
-        self.orders = WorkerOrders(settings.workers, self.order_caller, self.watch_caller)
-        self.fleet_orders = FleetOrders(settings.fleet, settings.process.id, self.store_caller)
+        self.orders = WorkerOrders(settings.workers, self.order_client, self.watch_client)
+        self.fleet_orders = FleetOrders(settings.fleet, settings.process.id, self.store_client)
         self.controller = OwnershipController(
             settings, self.view, self.table, self.orders, self.fleet_orders, self.incarnation
         )
@@ -159,8 +160,8 @@
             await self._drain()
             tasks.cancel_scope.cancel()
         await self.server.aclose()
-        for caller in (self.store_caller, self.order_caller, self.watch_caller):
-            await caller.aclose()
+        for client in (self.store_client, self.order_client, self.watch_client):
+            await client.aclose()
         log.info("process stopped", in_flight=self.server.in_flight)
 
     async def _listen_to_signals(
@@ -296,7 +297,7 @@
     def configuration_outdated(self) -> bool:
         """Return whether the configuration in force may be too old to serve callers by.
 
-        Other processes may serve a route that is unknown here, or may have dropped one.
+        Other processes may serve a route that is unknown here, or may have dropped a known one.
         """
         now = monotonic()
         behind_s = max(self.view.outdated_s(now), self.operators.failing_s(now))
@@ -336,7 +337,7 @@
         owner = self.view.owners.get(route.pool)
         if owner is None:
             return None
-        key = newest_key(REPORTS_TABLE, ProcessId(owner.record.process))
+        key = process_row_key(REPORTS_TABLE, ProcessId(owner.record.process))
         found = await self.table.read(key)
         match found:
             case Result(tag="ok", ok=row):
--- a/pumicespur/node/_process_tracker.py
+++ b/pumicespur/node/_process_tracker.py
@@ -16,7 +16,7 @@
     HEARTBEATS_TABLE,
     PRESENCE_TABLE,
     REPORTS_TABLE,
-    newest_key,
+    process_row_key,
 )
 from pumicespur.schema.jobs_pb import DutyReport, HeartbeatRecord, OwnerRecord
 from pumicespur.store import Page
@@ -48,8 +48,8 @@
 """Longest wait for reports in one request; a load peak builds up in tenths of a second."""
 
 MAX_REPLAY_FACTOR = 2.0
-"""Heartbeat intervals of missed changes that are replayed after a silence. Live processes repeat
-their state in each heartbeat, so older ones add nothing."""
+"""Longest silence, in heartbeat intervals, after which missed heartbeats are replayed. Live
+processes repeat their state in each heartbeat, so older ones add nothing."""
 
 POLL_SLACK_S = 0.3
 """Delay of a poll that timers and a repeated call may cause."""
@@ -140,7 +140,7 @@
         faults: list[Fault] = []
 
         async def read(process: ProcessId) -> None:
-            response = await self.table.read(newest_key(REPORTS_TABLE, process))
+            response = await self.table.read(process_row_key(REPORTS_TABLE, process))
             match response:
                 case Result(tag="ok", ok=row):
                     rows.append(row)
--- a/pumicespur/node/_refusals.py
+++ b/pumicespur/node/_refusals.py
@@ -1,4 +1,4 @@
-"""Remembers calls that were refused for their key, so that operators can explain it to callers."""
+"""Remembers calls refused for their key, so that operators can tell callers the reason."""
 
 from __future__ import annotations
 
--- a/pumicespur/node/_table_follower.py
+++ b/pumicespur/node/_table_follower.py
@@ -31,14 +31,15 @@
 
 @dataclass(frozen=True)
 class RescanPolicy:
-    """When a follower scans its table again instead of replaying the changes that it missed.
+    """The conditions for scanning a table again instead of replaying the changes missed.
 
     A process that was cut off for some seconds would otherwise stay out of date for as long
     again, replaying large configurations one by one over a slow link.
     """
 
     after_s: float
-    """Time without a response, in seconds, after which a scan is smaller than the changes."""
+    """Time without a response, in seconds, after which a scan is smaller than the changes; infinite
+    to replay them in any case."""
     when_outdated: bool = False
     """Whether to scan also when newer rows may exist by now; for tables of few large rows."""
 
@@ -55,7 +56,7 @@
     whole: bool
     """Whether the response holds all rows of the table."""
     max_age_s: float = math.inf
-    """Age, in seconds, at which the known rows are of no use; a response that would come later is
+    """Age, in seconds, from which the known rows are of no use; a response that would come later is
     not waited for. Such rows change all the time, so a response without rows proves nothing."""
 
 
@@ -172,8 +173,8 @@
 
     def _note_reading(self, page: Page, asked_at: float, whole: bool) -> None:
         """Note the version known; a truncated response proves nothing newer."""
-        quiet = not page.rows and not whole and self._max_age_s() < math.inf
-        if page.complete and not quiet:
+        proves_nothing = not page.rows and not whole and self._max_age_s() < math.inf
+        if page.complete and not proves_nothing:
             self.reading = Reading(page.version, asked_at)
 
     def _should_rescan(self, page: Page) -> bool:
@@ -181,8 +182,8 @@
         newest_row = max((row.version for row in page.rows), default=0)
         has_news = newest_row > self.newest_row
         self.newest_row = max(self.newest_row, newest_row)
-        late = page.superseded > 0 or page.receiving_s > SLOW_RESPONSE_S
-        return self.rescan_policy.when_outdated and has_news and late
+        may_be_outdated = page.superseded > 0 or page.receiving_s > SLOW_RESPONSE_S
+        return self.rescan_policy.when_outdated and has_news and may_be_outdated
 
     def _note_connected(self, connected: bool, reason: str) -> None:
         if connected == (self.failing_since is None):
--- a/pumicespur/node/_tables.py
+++ b/pumicespur/node/_tables.py
@@ -18,7 +18,7 @@
 """Reports of owners on their pools; only owners follow it."""
 
 
-def newest_key(table: str, process: ProcessId) -> str:
+def process_row_key(table: str, process: ProcessId) -> str:
     """Return the key of a process's row, which is in a part of its own.
 
     A slow store processes the writes to one part one after the other.
--- a/pumicespur/view/_view.py
+++ b/pumicespur/view/_view.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class SeenReport:
-    """A process's report on the roles it holds, and its earliest time (monotonic seconds)."""
+    """A process's report on its roles, and the earliest time of writing (monotonic seconds)."""
 
     report: DutyReport
     reported_at: float
@@ -106,7 +106,7 @@
             del self.revoked_keys[next(iter(self.revoked_keys))]
 
     def note_newer_configuration(self, version: int, now: float) -> None:
-        """Note that another process has a configuration version in force."""
+        """Note that another process has a configuration in force, if it is a newer one."""
         if version > self.configuration.version:
             self.newer_versions.setdefault(version, now)
 
@@ -119,7 +119,7 @@
         return now - min(self.newer_versions.values(), default=now)
 
     def other_pools(self, route: Route, earlier: bool) -> list[PoolId]:
-        """Return pools other than a route's own: its earlier ones, or all that have owners."""
+        """Return pools other than a route's own: its earlier ones, or all that need an owner."""
         known = self.earlier_pools.get(route.name, set()) if earlier else set(self.pools())
         return sorted(known - {route.pool})
 
