--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -285,7 +285,7 @@
     Guards against a needless takeover, which delayed or failed a pool's jobs for six seconds
     around an outage of three. Two seconds into the outage, idle processes held the owner for dead,
     since its last heartbeat was two seconds old. A takeover by one of them was applied although
-    its response was lost, and the owner's next commit was refused.
+    its response was lost; the owner's next commit was refused, and it gave the pool up.
     """
 
     def setUp(self) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What the store's use is counted by."""
+"""Tests of the counts of store calls and bytes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StoreUseTest(unittest.TestCase):
-    """Calls and bytes by table."""
+    """Totals of calls and bytes by table."""
 
     def test_sums_by_table(self) -> None:
         use = StoreUse()
