--- a/pumicespur/platform/_http.py
+++ b/pumicespur/platform/_http.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the platform and to workers, with faults told apart."""
+"""HTTP calls to the platform and to workers, with errors classified by whether they arrived."""
 
 from __future__ import annotations
 
@@ -20,103 +20,104 @@
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 NO_TIMEOUT = aiohttp.ClientTimeout(total=None)
-"""A transfer ends itself."""
+"""For transfers, which have deadlines of their own."""
 
-KEEP_ALIVE_S = 30.0
-"""Idle time after which a connection is closed; the platform's own limit is not published."""
+KEEP_ALIVE_TIMEOUT_S = 30.0
+"""Idle time after which a connection is closed; the platform does not publish its own limit."""
 
 
-STALL_S = 1.0
-"""Longest pause between two pieces of an answer: a lost packet is sent again within 0.4 s, and a
-thin link that others use as well takes as long again."""
+STALL_TIMEOUT_S = 1.0
+"""Longest pause within a response: a lost packet is retransmitted within 0.4 s, and a slow shared
+link may take as long again."""
 
 MAX_TRANSFER_S = 30.0
-"""Longest time of one answer: the megabyte that the platform hands out at most, at 35 KB/s."""
+"""Longest time of one response: its maximum size, a megabyte, arrives in this time at 35 KB/s."""
 
 
 @dataclass(frozen=True)
-class Answer:
-    """A complete answer."""
+class Response:
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class Transfer:
-    """A reading whose answer may be large, and how far it has come.
+    """The progress of a pending read, whose response may be large.
 
-    It lasts as long as bytes come. With one time-out for the whole answer, a large configuration
-    would never arrive over a thin link, where small answers take milliseconds.
+    It goes on as long as bytes arrive. With one timeout for the whole response, set by the
+    milliseconds that small responses take, a large configuration would never arrive over a slow
+    link.
     """
 
-    def __init__(self, first_bytes_s: float) -> None:
-        self.asked_at = anyio.current_time()
+    def __init__(self, first_bytes_timeout_s: float) -> None:
+        self.sent_at = anyio.current_time()
         self.received_bytes = 0
-        self.first_at: float | None = None
-        """When the first bytes of the body came; None before."""
-        self.newest_at = self.asked_at
-        """When the newest bytes came, or when they were asked for."""
-        self.last_at = self.asked_at + MAX_TRANSFER_S
+        self.first_bytes_at: float | None = None
+        """When the first bytes of the body arrived; None before."""
+        self.newest_bytes_at = self.sent_at
+        """When the newest bytes arrived, or the request was sent if none have."""
+        self.latest_end_at = self.sent_at + MAX_TRANSFER_S
         self.given_up = False
-        self.scope = anyio.CancelScope(deadline=self.asked_at + first_bytes_s)
+        self.scope = anyio.CancelScope(deadline=self.sent_at + first_bytes_timeout_s)
 
-    def note(self, size: int) -> None:
-        """Count bytes of the body that have come, and wait for the next ones."""
-        self.newest_at = anyio.current_time()
-        if self.first_at is None:
-            self.first_at = self.newest_at
+    def note_received(self, size: int) -> None:
+        """Count received bytes of the body and extend the deadline for the next ones."""
+        self.newest_bytes_at = anyio.current_time()
+        if self.first_bytes_at is None:
+            self.first_bytes_at = self.newest_bytes_at
         self.received_bytes += size
-        self.scope.deadline = min(self.newest_at + STALL_S, self.last_at)
+        self.scope.deadline = min(self.newest_bytes_at + STALL_TIMEOUT_S, self.latest_end_at)
 
     def give_up(self) -> None:
-        """End the reading; its connection is closed."""
+        """Cancel the read and close its connection."""
         self.given_up = True
         self.scope.cancel()
 
     @property
-    def silent_s(self) -> float:
-        """Return how long nothing has come."""
-        return anyio.current_time() - self.newest_at
+    def idle_s(self) -> float:
+        """Return the time since the newest bytes, in seconds."""
+        return anyio.current_time() - self.newest_bytes_at
 
     @property
-    def waited_s(self) -> float:
-        """Return the time since the request."""
-        return anyio.current_time() - self.asked_at
+    def elapsed_s(self) -> float:
+        """Return the time since the request, in seconds."""
+        return anyio.current_time() - self.sent_at
 
     @property
-    def first_after_s(self) -> float:
-        """Return how long the first bytes took, which does not depend on how many follow."""
-        return self.waited_s if self.first_at is None else self.first_at - self.asked_at
+    def first_bytes_after_s(self) -> float:
+        """Return the time to the first bytes, which does not depend on the size of the response."""
+        return self.elapsed_s if self.first_bytes_at is None else self.first_bytes_at - self.sent_at
 
     @property
     def receiving_s(self) -> float:
-        """Return how long the body has been coming."""
-        return 0.0 if self.first_at is None else self.newest_at - self.first_at
+        """Return the time between the first and the newest bytes, in seconds."""
+        return 0.0 if self.first_bytes_at is None else self.newest_bytes_at - self.first_bytes_at
 
 
 Decoded = TypeVar("Decoded")
 
 
-def understand(
+def decode_body(
     decode: Callable[[bytes], Decoded], content: bytes
 ) -> Result[Decoded, Unavailable | AnswerLost]:
-    """Decode the body of an answer; one that is not understood counts as none."""
+    """Decode the body of a response; an invalid one counts as a lost response."""
     try:
         return Ok(decode(content))
     except (msgspec.MsgspecError, ValueError) as failure:
         start = content[:200].decode(errors="replace")
-        log.error("answer not understood", reason=str(failure), body=start)
+        log.error("response not understood", reason=str(failure), body=start)
         return Error(AnswerLost(f"not understood: {failure}"))
 
 
 class HttpCaller:
-    """A pool of connections; a call returns an answer or tells whether it may have arrived."""
+    """A pool of connections; a failed call returns whether the request may have arrived."""
 
     def __init__(self, connections_per_address: int) -> None:
         connector = aiohttp.TCPConnector(
             limit=0,
             limit_per_host=connections_per_address,
-            keepalive_timeout=KEEP_ALIVE_S,
+            keepalive_timeout=KEEP_ALIVE_TIMEOUT_S,
             use_dns_cache=False,
         )
         self.session = aiohttp.ClientSession(
@@ -135,42 +136,44 @@
         *,
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
-    ) -> Result[Answer, Unavailable | AnswerLost]:
-        """Send one request and read its whole answer within `timeout_s` seconds."""
+    ) -> Result[Response, Unavailable | AnswerLost]:
+        """Send a request and read the whole response within `timeout_s`."""
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
             async with self.session.request(
                 method, url, data=body, headers=headers, timeout=timeout, allow_redirects=False
             ) as response:
-                return Ok(Answer(response.status, await response.read()))
+                return Ok(Response(response.status, await response.read()))
         except (TimeoutError, aiohttp.ClientError, OSError) as failure:
-            return Error(_fault(failure, f"no answer in {timeout_s:.2f} s"))
+            return Error(_call_error(failure, f"no response in {timeout_s:.2f} s"))
 
-    async def read(self, url: str, transfer: Transfer) -> Result[Answer, Unavailable | AnswerLost]:
-        """Read an answer of any size for as long as it keeps coming."""
+    async def read(
+        self, url: str, transfer: Transfer
+    ) -> Result[Response, Unavailable | AnswerLost]:
+        """Read a response of any size for as long as bytes keep arriving."""
         try:
             with transfer.scope:
                 return Ok(await self._read(url, transfer))
         except (TimeoutError, aiohttp.ClientError, OSError) as failure:
-            return Error(_fault(failure, "no answer in time"))
+            return Error(_call_error(failure, "no response in time"))
         if transfer.given_up:
             return Error(Unavailable("given up"))
-        return Error(AnswerLost(f"nothing came for {transfer.silent_s:.2f} s"))
+        return Error(AnswerLost(f"no bytes received for {transfer.idle_s:.2f} s"))
 
-    async def _read(self, url: str, transfer: Transfer) -> Answer:
+    async def _read(self, url: str, transfer: Transfer) -> Response:
         async with self.session.get(url, timeout=NO_TIMEOUT, allow_redirects=False) as response:
             chunks = []
             async for chunk in response.content.iter_any():
-                transfer.note(len(chunk))
+                transfer.note_received(len(chunk))
                 chunks.append(chunk)
-            return Answer(response.status, b"".join(chunks))
+            return Response(response.status, b"".join(chunks))
 
 
-def _fault(failure: Exception, late: str) -> Unavailable | AnswerLost:
+def _call_error(failure: Exception, timeout_reason: str) -> Unavailable | AnswerLost:
     match failure:
         case aiohttp.ClientConnectorError():
             return Unavailable(f"not connected: {failure}")
         case TimeoutError():
-            return AnswerLost(late)
+            return AnswerLost(timeout_reason)
         case _:
             return AnswerLost(f"connection broken: {type(failure).__name__}")
--- a/pumicespur/platform/_table.py
+++ b/pumicespur/platform/_table.py
@@ -1,7 +1,7 @@
-"""The platform's table service.
+"""The client of the platform's table service.
 
-A product key is `TABLE/PART/KEY`; the part may be empty and the key may hold slashes. One
-transaction keeps to one part, since deployments differ in whether more are allowed.
+A row's key in this project is `TABLE/PART/KEY`; the part may be empty and the key may contain
+slashes. A transaction touches one part only, since not every deployment allows more.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from expression import Error, Ok, Result
 from logbook import Logger
 
-from pumicespur.platform._http import JSON_HEADERS, Answer, HttpCaller, Transfer, understand
+from pumicespur.platform._http import JSON_HEADERS, HttpCaller, Response, Transfer, decode_body
 from pumicespur.store import (
     AnswerLost,
     AnswerTimes,
@@ -35,32 +35,33 @@
 
 log = Logger(__name__)
 
-PAGE_ROWS = 500
-"""Rows that the service hands out at once (its protocol)."""
+MAX_PAGE_ROWS = 500
+"""Maximum number of rows in one response, as the protocol defines it."""
 
-PAGE_BYTES = 1_000_000
-"""Bytes that it hands out at once (its protocol)."""
+MAX_PAGE_BYTES = 1_000_000
+"""Maximum size of the rows in one response, as the protocol defines it."""
 
-ROW_BYTES = 90_000
-"""The largest row: 64 KB in base64, and its key."""
+MAX_ROW_BYTES = 90_000
+"""Size of the largest row: 64 KB encoded in base64, and its key."""
 
-ANSWERS_S = 0.5
-"""Age of the newest answer up to which the service counts as answering: a heartbeat."""
+MAX_RESPONSE_AGE_S = 0.5
+"""Maximum age of the newest response while the service counts as responding: one heartbeat."""
 
-SILENCE_S = 1.0
-"""Time without an answer after which readings that wait are asked for anew: two heartbeats."""
+RENEWAL_DELAY_S = 1.0
+"""Length of an outage, two heartbeats, after which pending reads are given up and sent again."""
 
-UNDERSTOOD = frozenset({200, 410, 412})
-"""Status codes of answers by which the service tells what it did or has."""
+EXPECTED_STATUSES = frozenset({200, 410, 412})
+"""Status codes of responses that report a result; any other one counts as a failure."""
 
 TRANSACT_PATH = "/pumicespur/rows-tx"
 READ_PATH = "/pumicespur/rows-get"
 CHANGES_PATH = "/pumicespur/rows-feed"
 
 
-UPLOAD_BYTES_PER_S = 250_000
-"""Speed at which a request's body reaches the service at least: a fifth of a link of 10 Mbit/s,
-which others share. Without it, 300 KB over 400 KB/s were given up after 0.1 s, again and again."""
+MIN_UPLOAD_BYTES_PER_S = 250_000
+"""Lowest upload speed that the timeout of a request allows for: a fifth of a shared link of
+10 Mbit/s. Without this allowance, 300 KB over a link of 400 KB/s timed out after 0.1 s, and so did
+every retry."""
 
 
 class _Row(msgspec.Struct):
@@ -68,22 +69,22 @@
     part: str = ""
     key: str = msgspec.field(name="privateKey", default="")
     value: object = ""
-    """Text in base64; another writer may have put anything there."""
+    """Text in base64; other writers may have stored anything."""
     ver: int = 0
     gone: bool = False
     """The row was removed; `ver` is the version of its removal."""
 
 
-class _Rows(msgspec.Struct):
+class _RowsResponse(msgspec.Struct):
     rows: list[_Row] = []
     more: bool = False
     ver: int = 0
-    """The newest version of any row of the service, not of these rows."""
+    """The newest version of all rows of the service, not only of these."""
     now_ms: int = 0
-    """The service's steady clock."""
+    """The service's monotonic clock."""
 
 
-class _Written(msgspec.Struct):
+class _TransactResponse(msgspec.Struct):
     ver: int
     now_ms: int = 0
 
@@ -108,245 +109,256 @@
     key: str = msgspec.field(name="privateKey")
 
 
-class _Transaction(msgspec.Struct):
+class _TransactRequest(msgspec.Struct):
     conditions: list[_Condition] = msgspec.field(name="expectedRevision")
     put: list[_Write]
     remove: list[_Removal]
 
 
 _ENCODER = msgspec.json.Encoder()
-_ROWS = msgspec.json.Decoder(_Rows)
-_WRITTEN = msgspec.json.Decoder(_Written)
+_ROWS_DECODER = msgspec.json.Decoder(_RowsResponse)
+_TRANSACT_DECODER = msgspec.json.Decoder(_TransactResponse)
 
 
 class PlatformTable:
-    """Calls to the table service; each returns a result and raises nothing expected."""
+    """Calls to the table service, which return expected errors as results and do not raise them."""
 
-    def __init__(self, settings: StoreSettings, caller: HttpCaller) -> None:
+    def __init__(self, settings: StoreSettings, client: HttpCaller) -> None:
         self.settings = settings
-        self.caller = caller
-        self.base = f"http://{settings.address}"
+        self.client = client
+        self.base_url = f"http://{settings.address}"
         self.use = StoreUse()
         self.times = AnswerTimes(settings.timeout_s, settings.max_timeout_s)
         self.clock = StoreClock()
-        self.readings: set[Transfer] = set()
+        self.pending_reads: set[Transfer] = set()
         self.answered_at = float("-inf")
-        """When the service last did what it was asked (monotonic seconds)."""
-        self.failed_at = float("-inf")
-        """When a call last got a refusal or no answer (monotonic seconds)."""
+        """When the service last responded with a result (monotonic seconds)."""
+        self.last_failure_at = float("-inf")
+        """When a call was last refused or got no response (monotonic seconds)."""
 
     def silent_s(self, now: float) -> float:
-        """Return for how long calls have failed; 0 if the last one did not."""
-        return now - self.answered_at if self.failed_at > self.answered_at else 0.0
+        """Return the time since the last success, in seconds; 0 if the last call succeeded."""
+        return now - self.answered_at if self.last_failure_at > self.answered_at else 0.0
 
     def answers(self) -> bool:
-        """Return whether the service did what it was asked a moment ago."""
-        return monotonic() - self.answered_at < ANSWERS_S
+        """Return whether the service responded with a result within `MAX_RESPONSE_AGE_S`."""
+        return monotonic() - self.answered_at < MAX_RESPONSE_AGE_S
 
-    def _note_outcome(self, answer: Result[Answer, Unavailable | AnswerLost]) -> None:
+    def _note_outcome(self, response: Result[Response, Unavailable | AnswerLost]) -> None:
         now = monotonic()
-        if not answer.is_ok() or answer.ok.status not in UNDERSTOOD:
-            self.failed_at = now
+        if not response.is_ok() or response.ok.status not in EXPECTED_STATUSES:
+            self.last_failure_at = now
             return
         silent_s = self.silent_s(now)
         self.answered_at = now
-        if silent_s > SILENCE_S:
-            # What was asked for while the service was away may never be answered.
+        if silent_s > RENEWAL_DELAY_S:
+            # Requests sent during the outage may never get a response.
             self.renew_readings()
 
     def renew_readings(self) -> None:
-        """Give up the readings that have heard nothing; their connections may be dead.
+        """Give up the pending reads that received nothing; their connections may be dead.
 
-        One that is receiving, or was asked for within the time of an answer, goes on: what it
-        carries is what is waited for. Given up at each newer version, a configuration
-        stayed away for 14 s while one came each 0.8 s over a link of 10 Mbit/s.
+        A read that is receiving, or was sent less than a call's timeout ago, goes on, since it
+        carries the data that is needed. When reads were given up at each newer version, and a new
+        configuration was written every 0.8 s, none arrived for 14 s over a link of 10 Mbit/s.
         """
         allowed_s = self.times.timeout_s()
-        for reading in list(self.readings):
-            if reading.first_at is None and reading.waited_s > allowed_s:
-                reading.give_up()
+        for read in list(self.pending_reads):
+            if read.first_bytes_at is None and read.elapsed_s > allowed_s:
+                read.give_up()
 
     async def transact(self, transaction: Transaction) -> Result[int, Fault]:
-        """Write rows together if all conditions hold; return the version of the change."""
-        body = _ENCODER.encode(_encode(transaction))
+        """Write rows atomically if all conditions hold; return the version of the change."""
+        body = _ENCODER.encode(_encode_transaction(transaction))
         sent_at = monotonic()
-        answer = await self._timed_call("POST", TRANSACT_PATH, body, _table_of(transaction))
-        match answer:
-            case Result(tag="ok", ok=Answer(status=200, body=content)):
-                written = understand(_WRITTEN.decode, content)
-                written.map(lambda found: self._note_clock(found.now_ms, sent_at))
-                return written.map(lambda found: found.ver)
-            case Result(tag="ok", ok=Answer(status=412, body=content)):
-                rows = tuple(_row(row) for row in _ROWS.decode(content).rows)
+        response = await self._timed_call(
+            "POST", TRANSACT_PATH, body, _last_written_table(transaction)
+        )
+        match response:
+            case Result(tag="ok", ok=Response(status=200, body=content)):
+                written = decode_body(_TRANSACT_DECODER.decode, content)
+                written.map(lambda decoded: self._note_clock(decoded.now_ms, sent_at))
+                return written.map(lambda decoded: decoded.ver)
+            case Result(tag="ok", ok=Response(status=412, body=content)):
+                rows = tuple(_decode_row(row) for row in _ROWS_DECODER.decode(content).rows)
                 return Error(Conflict(tuple(row.key for row in rows), rows))
-            case Result(tag="ok", ok=Answer(status=status, body=content)):
-                return Error(_refusal(status, content))
-            case Result(error=fault):
-                return Error(fault)
+            case Result(tag="ok", ok=Response(status=status, body=content)):
+                return Error(_refusal_error(status, content))
+            case Result(error=error):
+                return Error(error)
 
-    def _note_clock(self, shown_ms: int, sent_at: float) -> None:
-        self.clock.note(shown_ms, sent_at, monotonic())
+    def _note_clock(self, reading_ms: int, sent_at: float) -> None:
+        self.clock.note(reading_ms, sent_at, monotonic())
 
     async def read(self, key: str) -> Result[Row, Fault]:
-        """Read one row; version 0 tells that it does not exist."""
+        """Read one row; its version is 0 if it does not exist."""
         table, part, name = key.split("/", 2)
         query = {"table": table, "part": part, "from": name, "limit": "1"}
         sent_at = monotonic()
-        answer = _rows(await self._timed_call("GET", _path(READ_PATH, query), None, table))
-        answer.map(lambda found: self._note_clock(found.now_ms, sent_at))
-        return answer.map(
-            lambda found: next(
-                (_row(row) for row in found.rows if row.key == name), Row(key, b"", 0)
+        response = _decode_rows(
+            await self._timed_call("GET", _path_with_query(READ_PATH, query), None, table)
+        )
+        response.map(lambda decoded: self._note_clock(decoded.now_ms, sent_at))
+        return response.map(
+            lambda decoded: next(
+                (_decode_row(row) for row in decoded.rows if row.key == name), Row(key, b"", 0)
             )
         )
 
     async def scan(
-        self, table: str, part: str, patience_s: float = math.inf
+        self, table: str, part: str, first_bytes_timeout_s: float = math.inf
     ) -> Result[Page, Fault]:
-        """Read all rows of a part of a table; each page may begin `patience_s` late at most.
+        """Read all rows of a part of a table, page by page.
 
-        The version is that of the first page, so that no change in between is missed.
+        The first bytes of each page have to arrive within `first_bytes_timeout_s` and within the
+        usual timeout of a call. The version returned is that of the first page, so that changes
+        made while reading are not missed.
         """
         rows: list[Row] = []
         version = 0
         receiving_s = 0.0
         start = ""
         while True:
-            query = {"table": table, "part": part, "from": start, "limit": str(PAGE_ROWS)}
-            transfer = Transfer(min(self.times.timeout_s(), patience_s))
-            answer = _rows(await self._read(_path(READ_PATH, query), transfer, table))
+            query = {"table": table, "part": part, "from": start, "limit": str(MAX_PAGE_ROWS)}
+            transfer = Transfer(min(self.times.timeout_s(), first_bytes_timeout_s))
+            response = _decode_rows(
+                await self._read(_path_with_query(READ_PATH, query), transfer, table)
+            )
             self._note_first_bytes(transfer)
-            match answer:
-                case Result(tag="ok", ok=found):
-                    rows += [_row(row) for row in found.rows]
-                    version = version or found.ver
+            match response:
+                case Result(tag="ok", ok=decoded):
+                    rows += [_decode_row(row) for row in decoded.rows]
+                    version = version or decoded.ver
                     receiving_s += transfer.receiving_s
-                    if not found.more or not found.rows:
+                    if not decoded.more or not decoded.rows:
                         return Ok(Page(rows, version, receiving_s=receiving_s))
-                    start = found.rows[-1].key + "\0"
-                case Result(error=fault):
-                    _note_broken_off("scan", table, transfer, fault)
-                    return Error(fault)
+                    start = decoded.rows[-1].key + "\0"
+                case Result(error=error):
+                    _log_failed_read("scan", table, transfer, error)
+                    return Error(error)
 
     async def changes(
-        self, table: str, since: int, wait_s: float, patience_s: float | None = None
+        self, table: str, since: int, wait_s: float, first_bytes_timeout_s: float | None = None
     ) -> Result[Page, Fault]:
-        """Wait for changes of a table after version `since`; removed rows have no value.
+        """Wait up to `wait_s` for changes of a table after version `since`.
 
-        The answer may begin `patience_s` after the wait, or as late as any call's.
-
-        The service hands out each change; of a row that changed several times only the newest
-        state is returned.
+        The first bytes of the response have to arrive within `first_bytes_timeout_s` after the
+        wait, and within the usual timeout of a call. The service returns every change; of a row
+        that changed several times only the newest state is kept. A removed row has no value.
         """
         query = {"table": table, "dependsOn": str(since), "waitMs": str(int(wait_s * 1000))}
         allowed_s = self.times.timeout_s()
-        transfer = Transfer(wait_s + min(allowed_s, patience_s or allowed_s))
-        answer = _rows(await self._read(_path(CHANGES_PATH, query), transfer, table))
-        if answer.is_error() and not isinstance(answer.error, HistoryGone):
-            _note_broken_off("watch", table, transfer, answer.error)
-        return answer.map(lambda found: _newest(found, transfer.receiving_s))
+        transfer = Transfer(wait_s + min(allowed_s, first_bytes_timeout_s or allowed_s))
+        response = _decode_rows(
+            await self._read(_path_with_query(CHANGES_PATH, query), transfer, table)
+        )
+        if response.is_error() and not isinstance(response.error, HistoryGone):
+            _log_failed_read("watch", table, transfer, response.error)
+        return response.map(lambda decoded: _changes_page(decoded, transfer.receiving_s))
 
     def _note_first_bytes(self, transfer: Transfer) -> None:
-        """Count how fast the store began to answer; the rest depends on the link."""
+        """Note the time to the first bytes; the time for the rest depends on the link."""
         now = monotonic()
-        if transfer.first_at is None:
-            self.times.note_silence(now, transfer.waited_s)
+        if transfer.first_bytes_at is None:
+            self.times.note_silence(now, transfer.elapsed_s)
         else:
-            self.times.note_answer(now, transfer.first_after_s)
+            self.times.note_answer(now, transfer.first_bytes_after_s)
 
     async def _read(
         self, path: str, transfer: Transfer, table: str
-    ) -> Result[Answer, Unavailable | AnswerLost]:
-        self.readings.add(transfer)
+    ) -> Result[Response, Unavailable | AnswerLost]:
+        self.pending_reads.add(transfer)
         try:
-            answer = await self.caller.read(self.base + path, transfer)
+            response = await self.client.read(self.base_url + path, transfer)
         finally:
-            self.readings.discard(transfer)
+            self.pending_reads.discard(transfer)
             self.use.note(table, 0, transfer.received_bytes)
         if not transfer.given_up:
-            self._note_outcome(answer)
-        return answer
+            self._note_outcome(response)
+        return response
 
     async def _timed_call(
         self, method: str, path: str, body: bytes | None, table: str
-    ) -> Result[Answer, Unavailable | AnswerLost]:
-        """Call with a time-out that follows how fast the store answers, and the body's size."""
-        started = monotonic()
-        upload_s = len(body or b"") / UPLOAD_BYTES_PER_S
-        answer = await self._call(method, path, self.times.timeout_s() + upload_s, body)
+    ) -> Result[Response, Unavailable | AnswerLost]:
+        """Send a request; its timeout follows recent response times and the size of the body."""
+        started_at = monotonic()
+        upload_s = len(body or b"") / MIN_UPLOAD_BYTES_PER_S
+        response = await self._call(method, path, self.times.timeout_s() + upload_s, body)
         now = monotonic()
-        received = answer.map(lambda found: len(found.body)).default_value(0)
+        received = response.map(lambda r: len(r.body)).default_value(0)
         self.use.note(table, len(body or b""), received)
-        self._note_outcome(answer)
-        if answer.is_ok():
-            self.times.note_answer(now, now - started)
+        self._note_outcome(response)
+        if response.is_ok():
+            self.times.note_answer(now, now - started_at)
         else:
-            self.times.note_silence(now, now - started)
-        return answer
+            self.times.note_silence(now, now - started_at)
+        return response
 
     async def _call(
         self, method: str, path: str, timeout_s: float, body: bytes | None
-    ) -> Result[Answer, Unavailable | AnswerLost]:
+    ) -> Result[Response, Unavailable | AnswerLost]:
         headers = JSON_HEADERS if body is not None else None
-        return await self.caller.call(
-            method, self.base + path, timeout_s, body=body, headers=headers
+        return await self.client.call(
+            method, self.base_url + path, timeout_s, body=body, headers=headers
         )
 
 
-def _table_of(transaction: Transaction) -> str:
-    """Return the table that a transaction counts for: that of its last write."""
+def _last_written_table(transaction: Transaction) -> str:
+    """Return the table that a transaction is accounted to: that of its last write."""
     return transaction.writes[-1].key.split("/", 1)[0] if transaction.writes else ""
 
 
-def _newest(found: _Rows, receiving_s: float) -> Page:
-    newest = {_key(row): row for row in found.rows}
-    superseded = len(found.rows) - len(newest)
-    rows = [_row(row) for row in newest.values()]
-    return Page(rows, found.ver, superseded, receiving_s, _is_complete(found))
+def _changes_page(decoded: _RowsResponse, receiving_s: float) -> Page:
+    newest = {_row_key(row): row for row in decoded.rows}
+    superseded = len(decoded.rows) - len(newest)
+    rows = [_decode_row(row) for row in newest.values()]
+    return Page(rows, decoded.ver, superseded, receiving_s, _is_complete(decoded))
 
 
-def _is_complete(found: _Rows) -> bool:
-    """Whether changes can't have been left out for want of room in the answer."""
-    size = sum(len(str(row.value)) for row in found.rows)
-    return len(found.rows) < PAGE_ROWS and size < PAGE_BYTES - ROW_BYTES
+def _is_complete(decoded: _RowsResponse) -> bool:
+    """Return whether the response was too small for the service to have left out changes."""
+    size = sum(len(str(row.value)) for row in decoded.rows)
+    return len(decoded.rows) < MAX_PAGE_ROWS and size < MAX_PAGE_BYTES - MAX_ROW_BYTES
 
 
-def _note_broken_off(kind: str, table: str, transfer: Transfer, fault: Fault) -> None:
-    """Log a reading without an answer: a dead connection has brought no bytes, a thin one has."""
+def _log_failed_read(kind: str, table: str, transfer: Transfer, error: Fault) -> None:
+    """Log a failed read; received bytes tell a slow link from a dead connection."""
     METRICS.broken_off.inc({"kind": kind, "receiving": str(transfer.received_bytes > 0).lower()})
     log.info(
-        "reading broken off",
+        "read failed",
         kind=kind,
         table=table,
-        reason=str(fault),
-        waited_s=round(transfer.waited_s, 3),
+        reason=str(error),
+        waited_s=round(transfer.elapsed_s, 3),
         received_bytes=transfer.received_bytes,
         receiving_s=round(transfer.receiving_s, 3),
     )
 
 
-def _path(path: str, query: dict[str, str]) -> str:
+def _path_with_query(path: str, query: dict[str, str]) -> str:
     return f"{path}?{urlencode(query)}"
 
 
-def _rows(answer: Result[Answer, Unavailable | AnswerLost]) -> Result[_Rows, Fault]:
-    match answer:
-        case Result(tag="ok", ok=Answer(status=200, body=content)):
-            return understand(_ROWS.decode, content)
-        case Result(tag="ok", ok=Answer(status=410)):
+def _decode_rows(
+    response: Result[Response, Unavailable | AnswerLost],
+) -> Result[_RowsResponse, Fault]:
+    match response:
+        case Result(tag="ok", ok=Response(status=200, body=content)):
+            return decode_body(_ROWS_DECODER.decode, content)
+        case Result(tag="ok", ok=Response(status=410)):
             return Error(HistoryGone("the history is gone"))
-        case Result(tag="ok", ok=Answer(status=status, body=content)):
-            return Error(_refusal(status, content))
-        case Result(error=fault):
-            return Error(fault)
+        case Result(tag="ok", ok=Response(status=status, body=content)):
+            return Error(_refusal_error(status, content))
+        case Result(error=error):
+            return Error(error)
 
 
-def _refusal(status: int, content: bytes) -> Unavailable:
-    """Name a refusal; the service says that it did nothing."""
+def _refusal_error(status: int, content: bytes) -> Unavailable:
+    """Return the error for a refusal, by which the service says that it did nothing."""
     return Unavailable(f"refused with {status}: {content[:200].decode(errors='replace')}")
 
 
-def _encode(transaction: Transaction) -> _Transaction:
+def _encode_transaction(transaction: Transaction) -> _TransactRequest:
     put: list[_Write] = []
     remove: list[_Removal] = []
     for write in transaction.writes:
@@ -355,28 +367,28 @@
             remove.append(_Removal(table, part, name))
         else:
             put.append(_Write(table, part, name, base64.b64encode(write.value).decode()))
-    return _Transaction([_condition(c) for c in transaction.conditions], put, remove)
+    return _TransactRequest([_encode_condition(c) for c in transaction.conditions], put, remove)
 
 
-def _condition(condition: Condition) -> _Condition:
+def _encode_condition(condition: Condition) -> _Condition:
     table, part, name = condition.key.split("/", 2)
     return _Condition(table, part, name, condition.version)
 
 
-def _key(row: _Row) -> str:
+def _row_key(row: _Row) -> str:
     return f"{row.table}/{row.part}/{row.key}"
 
 
-def _row(row: _Row) -> Row:
+def _decode_row(row: _Row) -> Row:
     if row.gone:
-        return Row(_key(row), b"", 0)
-    return Row(_key(row), _content(row), row.ver)
+        return Row(_row_key(row), b"", 0)
+    return Row(_row_key(row), _decode_value(row), row.ver)
 
 
-def _content(row: _Row) -> bytes:
-    """Return a row's value; one that can't be read is empty, and the rows beside it hold."""
+def _decode_value(row: _Row) -> bytes:
+    """Return a row's value; an invalid one counts as empty, so that the other rows can be used."""
     try:
         return base64.b64decode(str(row.value), validate=True)
     except ValueError as failure:
-        log.error("row not understood", row=_key(row), reason=str(failure))
+        log.error("row not understood", row=_row_key(row), reason=str(failure))
         return b""
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -95,8 +95,8 @@
 
 
 def _break_off(self: _table.PlatformTable) -> None:
-    for reading in list(self.readings):
-        reading.give_up()
+    for read in list(self.pending_reads):
+        read.give_up()
 
 
 def take_out(mutant: Mutant) -> None:
