--- a/pumicespur/platform/__init__.py
+++ b/pumicespur/platform/__init__.py
@@ -1,6 +1,7 @@
-"""The adapter to the users' platform: everything that knows its names and bodies.
+"""The adapter to the users' platform.
 
-Nothing outside this package knows how the platform, its workers and its callers write things.
+Only this package knows the paths, headers, bodies and rows that the platform, its workers and its
+callers use.
 """
 
 from __future__ import annotations
--- a/pumicespur/platform/_callers.py
+++ b/pumicespur/platform/_callers.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers and for the platform's readiness checks."""
+"""HTTP servers for callers and for the platform's readiness checks."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 
 READINESS_PATH = "/pumicespur/readiness"
 DEADLINE_HEADER = "X-Pumicespur-Deadline-Ms"
-"""Time that a caller waits for an answer, in milliseconds."""
+"""Header that says how long a caller waits for a response, in milliseconds."""
 
-BEARER = "Bearer"
-"""The scheme in which callers show their keys (RFC 6750)."""
+BEARER_SCHEME = "Bearer"
+"""Authentication scheme of callers' keys (RFC 6750)."""
 
-ID_LENGTH = 16
+JOB_ID_LENGTH = 16
 HEX_DIGITS = frozenset("0123456789abcdef")
-ANSWER_RESERVE_S = 0.15
-"""Kept back from a caller's time so that the final answer still reaches it."""
+RESPONSE_MARGIN_S = 0.15
+"""Part of a caller's time kept for the way of the response back to it."""
 
-GIVE_UP_SHARE = 0.5
-"""Share of a caller's time after which a refusal is given, so that another try has time."""
+GIVE_UP_RATIO = 0.5
+"""Share of a caller's time after which the request is refused, which leaves time for a retry."""
 
-COME_BACK_S = "1"
-"""When a refused caller may try again: about the time until a lost owner is replaced."""
+RETRY_AFTER_S = "1"
+"""Value of the `Retry-After` header: about the time until a lost owner is replaced."""
 
-PHASES = {
+PHASE_NAMES = {
     JobPhase.QUEUED: "queued",
     JobPhase.RUNNING: "running",
     JobPhase.COMPLETED: "completed",
@@ -55,7 +55,7 @@
 }
 
 
-class _Step(msgspec.Struct):
+class _StepBody(msgspec.Struct):
     count: int = 0
     cpu: int = 0
     memory_mb: int = msgspec.field(name="memMb", default=0)
@@ -76,19 +76,19 @@
     may_miss: int = 0
 
 
-class _Job(msgspec.Struct):
+class _JobBody(msgspec.Struct):
     payload: str = msgspec.field(name="taskSpec", default="")
-    steps: list[_Step] = []
+    steps: list[_StepBody] = []
     repeats: int = msgspec.field(name="repeatCount", default=0)
     first_ms: float = msgspec.field(name="initialDelayMs", default=0)
     interval_ms: float = msgspec.field(name="intervalMs", default=0)
 
 
-_JOB = msgspec.json.Decoder(_Job)
+_JOB_DECODER = msgspec.json.Decoder(_JobBody)
 
 
-class JobDesk(Protocol):
-    """What callers may ask of jobs; times to give up are monotonic seconds."""
+class JobApi(Protocol):
+    """What callers can do with jobs; `give_up_at` is in monotonic seconds."""
 
     async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
         """Record a job."""
@@ -96,48 +96,48 @@
     async def state(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
     ) -> Result[JobPhase | None, Fault]:
-        """Read how far a job is; None tells that there is no such job for the caller."""
+        """Return the phase of a job, or None if the caller has no such job."""
 
     async def cancel(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
     ) -> Cancellation:
-        """Record that a job is not wanted any more."""
+        """Record the cancellation of a job."""
 
 
 class CallerContext(Protocol):
-    """What the server needs of the process."""
+    """What the server needs from the process."""
 
     @property
-    def jobs(self) -> JobDesk:
-        """Return where jobs are handed in and asked for."""
+    def jobs(self) -> JobApi:
+        """Return the object that carries out requests about jobs."""
 
     def current_configuration(self) -> Configuration | None:
         """Return the configuration in force, or None before the first one."""
 
     def is_ready(self) -> bool:
-        """Tell whether the process serves callers."""
+        """Return whether the process is ready for callers."""
 
     def configuration_outdated(self) -> bool:
-        """Tell whether the configuration in force is too old to answer by."""
+        """Return whether the configuration in force is too old to serve callers by."""
 
     def newer_configuration_known(self) -> bool:
-        """Tell whether others have a configuration in force that is not here yet."""
+        """Return whether others have put a configuration in force that has not arrived here yet."""
 
     def note_refused(self, job: JobId, digest: KeyDigest | None, version: int) -> None:
-        """Remember that a call was refused for its key, by which configuration."""
+        """Note a call refused for its key, and the version of the configuration that decided it."""
 
     def store_answers(self) -> bool:
-        """Tell whether the store answered lately; without it nothing can be taken or told."""
+        """Return whether the store responded lately; without it no job can be accepted or read."""
 
     def is_stopping(self) -> bool:
-        """Tell whether connections are to be closed after their answer."""
+        """Return whether connections are to be closed after their response."""
 
     async def waiting_jobs(self, route: Route) -> int | None:
-        """Return how many jobs wait on a route, or None if that is not known."""
+        """Return the number of jobs waiting on a route, or None if it is not known."""
 
 
 class CallerServer:
-    """Translates callers' requests into calls of the job service."""
+    """A server that translates callers' requests into calls of `JobApi`."""
 
     def __init__(self, context: CallerContext) -> None:
         self.context = context
@@ -145,11 +145,11 @@
         self.runners: list[web.ServerRunner] = []
 
     async def listen(self, callers: str, readiness: str) -> dict[str, str]:
-        """Serve at two addresses, IP number and port each; return where each is bound."""
+        """Listen at two addresses (IP number and port); return the bound addresses by name."""
         bound = {}
         for name, address, handler in (
             ("callers", callers, self._serve_caller),
-            ("readiness", readiness, self._serve_check),
+            ("readiness", readiness, self._serve_readiness),
         ):
             runner = await listen_at(address, handler)
             self.runners.append(runner)
@@ -161,65 +161,65 @@
         for runner in self.runners:
             await runner.cleanup()
 
-    async def _serve_check(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _serve_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != READINESS_PATH:
             return web.Response(status=404)
         return web.Response(status=200 if self.context.is_ready() else 503)
 
     async def _serve_caller(self, request: web.BaseRequest) -> web.StreamResponse:
         self.in_flight += 1
-        started = monotonic()
+        started_at = monotonic()
         try:
-            response = await self._answer(request)
+            response = await self._handle(request)
         finally:
             self.in_flight -= 1
-            METRICS.callers.observe({"method": request.method}, monotonic() - started)
+            METRICS.callers.observe({"method": request.method}, monotonic() - started_at)
         if self.context.is_stopping():
             response.force_close()
         return response
 
-    async def _answer(self, request: web.BaseRequest) -> web.Response:
+    async def _handle(self, request: web.BaseRequest) -> web.Response:
         configuration = self.context.current_configuration()
         if configuration is None:
-            return _refuse(503, "no configuration yet")
+            return _error_response(503, "no configuration yet")
         if self.context.configuration_outdated():
-            # 404 would tell a caller not to come back, on the word of a configuration that others
-            # have replaced.
-            return _refuse(503, "the configuration here is out of date; nothing was done")
+            # The route may be missing in an outdated configuration only, but a 404 would tell the
+            # caller not to retry.
+            return _error_response(503, "the configuration here is out of date; nothing was done")
         path = request.raw_path.partition("?")[0]
         route = configuration.match(request.headers.get("Host", "").lower(), path)
         if route is None:
-            return _refuse(404, "no such route")
+            return _error_response(404, "no such route")
         name = path[len(route.path_prefix) :]
         if (name or request.method != "GET") and not is_job_id(name):
-            return _refuse(404, "no such job")
-        caller = self._caller(request, route, configuration, JobId(name))
+            return _error_response(404, "no such job")
+        caller = self._authenticate(request, route, configuration, JobId(name))
         if caller is None:
             if self.context.newer_configuration_known():
-                # The key may be one of those that it adds.
-                return _refuse(503, "a newer configuration is on its way; nothing was done")
-            return _refuse(401, "no key that is in force")
+                # The newer configuration may add this key.
+                return _error_response(503, "a newer configuration is on its way; nothing was done")
+            return _error_response(401, "no key that is in force")
         if not name:
-            return await self._count(route)
+            return await self._count_waiting(route)
         if not self.context.store_answers():
-            return _refuse(503, "the store does not answer; nothing was done")
-        give_up_at = monotonic() + _patience_s(request, route)
+            return _error_response(503, "the store does not answer; nothing was done")
+        give_up_at = monotonic() + _time_limit_s(request, route)
         match request.method:
             case "POST":
                 limit = configuration.limits.max_body_bytes
                 record = JobRecord(id=name, route=route.name, account=caller)
                 return await self._submit(request, route, record, give_up_at, limit)
             case "GET":
-                return await self._state(route, caller, JobId(name), give_up_at)
+                return await self._read_state(route, caller, JobId(name), give_up_at)
             case "DELETE":
                 return await self._cancel(route, caller, JobId(name), give_up_at)
             case _:
-                return _refuse(405, "no such method")
+                return _error_response(405, "no such method")
 
-    def _caller(
+    def _authenticate(
         self, request: web.BaseRequest, route: Route, configuration: Configuration, job: JobId
     ) -> AccountId | None:
-        """Return whose call it is; None if it needs a key and has none that is in force."""
+        """Return the account of a caller, or None if the route needs a key and none is in force."""
         if route.public:
             return ANYONE
         key = bearer_key(request.headers.get("Authorization", ""))
@@ -237,11 +237,11 @@
             )
         return caller
 
-    async def _count(self, route: Route) -> web.Response:
+    async def _count_waiting(self, route: Route) -> web.Response:
         waiting = await self.context.waiting_jobs(route)
         if waiting is None:
-            return _refuse(503, "the pool has no owner at present")
-        return _json(200, {"pending": waiting})
+            return _error_response(503, "the pool has no owner at present")
+        return _json_response(200, {"pending": waiting})
 
     async def _submit(
         self,
@@ -252,39 +252,39 @@
         limit: int,
     ) -> web.Response:
         if (request.content_length or 0) > limit:
-            return _refuse(413, f"more than {limit} bytes")
+            return _error_response(413, f"more than {limit} bytes")
         body = await request.read()
         if len(body) > limit:
-            return _refuse(413, f"more than {limit} bytes")
+            return _error_response(413, f"more than {limit} bytes")
         match decode_job(record, body):
             case Result(tag="error", error=reason):
                 log.warning("job refused", job=record.id, route=route.name, reason=reason)
-                return _refuse(400, reason)
+                return _error_response(400, reason)
             case Result(ok=job):
                 outcome = await self.context.jobs.submit(route, job, give_up_at)
                 METRICS.jobs.inc({"outcome": outcome.value})
         match outcome:
             case Submission.ACCEPTED:
-                return _json(200, {"state": "queued"})
+                return _json_response(200, {"state": "queued"})
             case Submission.NOT_TAKEN:
-                return _refuse(503, "the job was not taken")
+                return _error_response(503, "the job was not taken")
             case Submission.UNKNOWN:
-                return _refuse(504, "whether the job was taken is not known; ask again")
+                return _error_response(504, "whether the job was taken is not known; ask again")
             case Submission.FOREIGN:
-                return _refuse(409, "the id can't be used")
+                return _error_response(409, "the id can't be used")
 
-    async def _state(
+    async def _read_state(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
     ) -> web.Response:
-        answer = await self.context.jobs.state(route, caller, job, give_up_at)
-        match answer:
+        result = await self.context.jobs.state(route, caller, job, give_up_at)
+        match result:
             case Result(tag="ok", ok=None):
-                return _refuse(410, "no such job")
+                return _error_response(410, "no such job")
             case Result(tag="ok", ok=phase):
-                return _json(200, {"state": PHASES[phase or JobPhase.QUEUED]})
-            case Result(error=fault):
-                log.warning("state not read", job=job, route=route.name, reason=str(fault))
-                return _refuse(503, "the state can't be read at present")
+                return _json_response(200, {"state": PHASE_NAMES[phase or JobPhase.QUEUED]})
+            case Result(error=error):
+                log.warning("state not read", job=job, route=route.name, reason=str(error))
+                return _error_response(503, "the state can't be read at present")
 
     async def _cancel(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
@@ -292,47 +292,47 @@
         outcome = await self.context.jobs.cancel(route, caller, job, give_up_at)
         match outcome:
             case Cancellation.DONE:
-                return _json(200, {"state": "cancelled"})
+                return _json_response(200, {"state": "cancelled"})
             case Cancellation.NO_SUCH_JOB:
-                return _refuse(410, "no such job to cancel")
+                return _error_response(410, "no such job to cancel")
             case Cancellation.UNKNOWN:
-                return _refuse(504, "whether the job is cancelled is not known; ask again")
+                return _error_response(504, "whether the job is cancelled is not known; ask again")
 
 
 def is_job_id(name: str) -> bool:
-    """Tell whether a job may have a name."""
-    return len(name) == ID_LENGTH and set(name) <= HEX_DIGITS
+    """Return whether a text is a valid id of a job."""
+    return len(name) == JOB_ID_LENGTH and set(name) <= HEX_DIGITS
 
 
 def bearer_key(header: str) -> str | None:
-    """Return the key of an `Authorization` header; None if there is none in its proper form."""
+    """Return the key in an `Authorization` header, or None if it holds no bearer key."""
     scheme, _, key = header.partition(" ")
-    return key.strip() or None if scheme.lower() == BEARER.lower() else None
+    return key.strip() or None if scheme.lower() == BEARER_SCHEME.lower() else None
 
 
 def decode_job(job: JobRecord, body: bytes) -> Result[JobRecord, str]:
-    """Read what a caller submits for a job, or tell what is wrong with it."""
+    """Fill in a job from a request body, or return what is wrong with the body."""
     try:
-        found = _JOB.decode(body)
+        submitted = _JOB_DECODER.decode(body)
     except msgspec.MsgspecError as failure:
         return Error(f"not a job: {failure}")
-    if not found.steps:
+    if not submitted.steps:
         return Error("steps: a job needs at least one")
-    for number, step in enumerate(found.steps):
+    for index, step in enumerate(submitted.steps):
         if step.count < 1:
-            return Error(f"steps[{number}].count: is {step.count}, needs at least 1")
-        if any(not 0 <= earlier < number for earlier in step.depends_on):
-            return Error(f"steps[{number}].dependsOn: names a step that is not an earlier one")
-    job.payload = found.payload
-    job.steps = [_step(step) for step in found.steps]
-    job.repeats = found.repeats
-    job.first_due_ms = int(found.first_ms)
-    job.interval_ms = int(found.interval_ms)
+            return Error(f"steps[{index}].count: is {step.count}, needs at least 1")
+        if any(not 0 <= earlier < index for earlier in step.depends_on):
+            return Error(f"steps[{index}].dependsOn: names a step that is not an earlier one")
+    job.payload = submitted.payload
+    job.steps = [_step_record(step) for step in submitted.steps]
+    job.repeats = submitted.repeats
+    job.first_due_ms = int(submitted.first_ms)
+    job.interval_ms = int(submitted.interval_ms)
     job.accepted_ms = now_ms()
     return Ok(job)
 
 
-def _step(step: _Step) -> StepRecord:
+def _step_record(step: _StepBody) -> StepRecord:
     return StepRecord(
         count=step.count,
         cpu_millis=step.cpu,
@@ -355,25 +355,25 @@
     )
 
 
-def _patience_s(request: web.BaseRequest, route: Route) -> float:
-    """Return how long to try for a caller: a share of its own time, less the way back."""
+def _time_limit_s(request: web.BaseRequest, route: Route) -> float:
+    """Return how long to work on a request: a share of the caller's time, less the way back."""
     try:
-        asked_s = float(request.headers.get(DEADLINE_HEADER, "")) / 1000
+        requested_s = float(request.headers.get(DEADLINE_HEADER, "")) / 1000
     except ValueError:
-        # A caller that names no time gets the route's.
-        asked_s = route.timeout_s
-    return max(0.0, min(asked_s, route.timeout_s) * GIVE_UP_SHARE - ANSWER_RESERVE_S)
+        # Without a valid header, the timeout of the route applies.
+        requested_s = route.timeout_s
+    return max(0.0, min(requested_s, route.timeout_s) * GIVE_UP_RATIO - RESPONSE_MARGIN_S)
 
 
-def _json(status: int, body: dict[str, str | int]) -> web.Response:
+def _json_response(status: int, body: dict[str, str | int]) -> web.Response:
     content = msgspec.json.encode(body)
     return web.Response(status=status, body=content, content_type="application/json")
 
 
-def _refuse(status: int, reason: str) -> web.Response:
-    response = _json(status, {"error": reason})
+def _error_response(status: int, reason: str) -> web.Response:
+    response = _json_response(status, {"error": reason})
     if status in (503, 504):
-        response.headers["Retry-After"] = COME_BACK_S
+        response.headers["Retry-After"] = RETRY_AFTER_S
     if status == 401:
-        response.headers["WWW-Authenticate"] = BEARER
+        response.headers["WWW-Authenticate"] = BEARER_SCHEME
     return response
--- a/pumicespur/platform/_declarations.py
+++ b/pumicespur/platform/_declarations.py
@@ -1,4 +1,4 @@
-"""What operators and workers keep in the store: configuration, waves, workers' descriptions."""
+"""Rows that operators and workers write into the store: configuration, waves, worker entries."""
 
 from __future__ import annotations
 
@@ -37,18 +37,18 @@
 WORKERS_TABLE = "servers"
 
 ADDRESS_PATTERN = r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$"
-"""IP number and port, the only form of address that is spoken to."""
+"""IP number and port, the only supported form of address."""
 
 Amount = Annotated[int, msgspec.Meta(ge=0, le=2**31 - 1)]
-"""How much there is of something; messages between processes carry no more."""
+"""A quantity; messages between processes carry it as a signed 32-bit number."""
 
 LimitAmount = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-"""The most that an account may have; larger than any fleet, exact in JSON."""
+"""An account's limit; its maximum is above any fleet's capacity and exact in JSON."""
 
-Birth = Annotated[int, msgspec.Meta(ge=1)] | msgspec.UnsetType
-"""Start of a worker's life, in milliseconds since 1970; unset where the platform tells none."""
+StartTimeMs = Annotated[int, msgspec.Meta(ge=1)] | msgspec.UnsetType
+"""Start time of a worker's incarnation, in milliseconds since 1970; unset if not given."""
 
-RACK_LABEL_DIGITS = frozenset("0123456789-")
+RACK_NUMBER_CHARS = frozenset("0123456789-")
 
 
 class _Advice(msgspec.Struct):
@@ -70,7 +70,7 @@
     stretch: float = 1.0
     advice: _Advice | None = None
     public: bool | None = None
-    """Missing where the operators declare no accounts, so that nobody has a key."""
+    """Callers need no key. Unset counts as true if no accounts are declared: nobody has a key."""
 
 
 class _Service(msgspec.Struct):
@@ -119,7 +119,7 @@
 
 
 class WireCapacity(msgspec.Struct):
-    """Capacity as workers and the instance list write it."""
+    """Capacity in worker entries and in the list of instances."""
 
     cpu: Amount = 0
     """Thousandths of a core."""
@@ -127,7 +127,7 @@
     gpu: Amount = 0
 
     def decode(self) -> Capacity:
-        """Return the product's form."""
+        """Return the capacity in the model's form."""
         return Capacity(self.cpu, self.memory_mb, self.gpu)
 
 
@@ -147,13 +147,13 @@
     labels: list[str] = []
     machine: str = ""
     """The instance that the worker runs on."""
-    born: Birth = msgspec.UNSET
+    born: StartTimeMs = msgspec.UNSET
     remaining_ms: float | None = msgspec.field(name="remainingMs", default=None)
 
 
-_CONFIGURATION = msgspec.json.Decoder(_Configuration)
-_WAVE = msgspec.json.Decoder(_Wave)
-_WORKER = msgspec.json.Decoder(_Worker)
+_CONFIGURATION_DECODER = msgspec.json.Decoder(_Configuration)
+_WAVE_DECODER = msgspec.json.Decoder(_Wave)
+_WORKER_DECODER = msgspec.json.Decoder(_Worker)
 _WORKER_STATES = {
     _WorkerState.READY: WorkerState.READY,
     _WorkerState.DRAINING: WorkerState.DRAINING,
@@ -163,69 +163,69 @@
 
 
 def decode_configuration(value: bytes) -> Result[Configuration, str]:
-    """Read the operators' configuration, or tell what is wrong with it."""
-    match _decode(_CONFIGURATION, value, "configuration"):
+    """Decode the operators' configuration, or return what is wrong with it."""
+    match _decode(_CONFIGURATION_DECODER, value, "configuration"):
         case Result(tag="error", error=reason):
             return Error(reason)
-        case Result(ok=found):
+        case Result(ok=decoded):
             pass
-    match _digests(found.accounts):
+    match _index_keys(decoded.accounts):
         case Result(tag="error", error=reason):
             return Error(f"configuration: {reason}")
         case Result(ok=keys):
             pass
-    accounts = {AccountId(a.name): _account(a) for a in found.accounts}
-    routes = {RouteName(route.name): _route(route, not accounts) for route in found.routes}
+    accounts = {AccountId(a.name): _decode_account(a) for a in decoded.accounts}
+    routes = {RouteName(route.name): _decode_route(route, not accounts) for route in decoded.routes}
     pools = {
-        PoolId(s.name): PoolSettings(PoolId(s.name), s.guarded, s.spare) for s in found.services
+        PoolId(s.name): PoolSettings(PoolId(s.name), s.guarded, s.spare) for s in decoded.services
     }
-    limits = CallerLimits(found.limits.body_bytes, found.limits.idle_ms / 1000)
-    return Ok(Configuration(found.version, routes, pools, limits, accounts, keys))
+    limits = CallerLimits(decoded.limits.body_bytes, decoded.limits.idle_ms / 1000)
+    return Ok(Configuration(decoded.version, routes, pools, limits, accounts, keys))
 
 
 def decode_wave(value: bytes) -> Result[Wave, str]:
-    """Read a wave, or tell what is wrong with it."""
-    match _decode(_WAVE, value, "wave"):
+    """Decode a wave, or return what is wrong with it."""
+    match _decode(_WAVE_DECODER, value, "wave"):
         case Result(tag="error", error=reason):
             return Error(reason)
-        case Result(ok=found):
+        case Result(ok=decoded):
             pass
-    instances = tuple(InstanceId(name) for name in found.machines)
-    return Ok(Wave(found.wave, instances, found.duration_s, found.at_once))
+    instances = tuple(InstanceId(name) for name in decoded.machines)
+    return Ok(Wave(decoded.wave, instances, decoded.duration_s, decoded.at_once))
 
 
 def encode_wave_state(completed: bool) -> bytes:
-    """Write how far a wave is, as the operators read it."""
+    """Encode the state of a wave for the operators."""
     return msgspec.json.encode({"state": "completed" if completed else "running"})
 
 
 def wave_state_key(number: int) -> str:
-    """Return the row in which operators look for the state of a wave."""
+    """Return the key of the row from which operators read the state of a wave."""
     return f"status//wave/{number}"
 
 
-def decode_birth(born: Birth) -> int | None:
-    """Return a birth in the product's form."""
-    return None if isinstance(born, msgspec.UnsetType) else born
+def decode_start_time(start_time: StartTimeMs) -> int | None:
+    """Return the start time of an incarnation in milliseconds since 1970; None if it is unset."""
+    return None if isinstance(start_time, msgspec.UnsetType) else start_time
 
 
 def decode_worker(name: WorkerName, value: bytes) -> Result[Worker, str]:
-    """Read a worker's description, or tell what is wrong with it.
+    """Decode a worker's entry, or return what is wrong with it.
 
-    Others may write into the table too, so that anything may stand there.
+    Other writers may have stored anything in the table.
     """
-    return _decode(_WORKER, value, f"worker {name}").map(
-        lambda found: Worker(
-            id=worker_id(name, decode_birth(found.born)),
-            pool=PoolId(found.backend),
-            address=found.address,
-            data_hall=DataHall(found.zone),
-            state=_WORKER_STATES[found.state],
-            capacity=found.capacity.decode(),
-            labels=frozenset(found.labels),
-            rack=rack_of(found.labels),
-            instance=InstanceId(found.machine),
-            leaves_in_s=None if found.remaining_ms is None else found.remaining_ms / 1000,
+    return _decode(_WORKER_DECODER, value, f"worker {name}").map(
+        lambda decoded: Worker(
+            id=worker_id(name, decode_start_time(decoded.born)),
+            pool=PoolId(decoded.backend),
+            address=decoded.address,
+            data_hall=DataHall(decoded.zone),
+            state=_WORKER_STATES[decoded.state],
+            capacity=decoded.capacity.decode(),
+            labels=frozenset(decoded.labels),
+            rack=find_rack(decoded.labels),
+            instance=InstanceId(decoded.machine),
+            leaves_in_s=None if decoded.remaining_ms is None else decoded.remaining_ms / 1000,
         )
     )
 
@@ -239,39 +239,45 @@
         return Error(f"{what}: {failure}")
 
 
-def rack_of(labels: list[str]) -> Rack:
-    """Pick the label that names the rack: a letter, then digits and hyphens."""
+def find_rack(labels: list[str]) -> Rack:
+    """Return the label that names the rack: one character, then digits and hyphens."""
     for label in labels:
-        if len(label) > 1 and set(label[1:]) <= RACK_LABEL_DIGITS:
+        if len(label) > 1 and set(label[1:]) <= RACK_NUMBER_CHARS:
             return Rack(label)
     return Rack("")
 
 
-def _digests(accounts: list[_Account]) -> Result[dict[KeyDigest, AccountId], str]:
-    """Return whose each key is, or where a name or key stands twice; no key is shown."""
-    found: dict[KeyDigest, AccountId] = {}
+def _index_keys(accounts: list[_Account]) -> Result[dict[KeyDigest, AccountId], str]:
+    """Return the account of each key, or where a name or key is repeated, without showing a key."""
+    accounts_by_key: dict[KeyDigest, AccountId] = {}
     names: set[str] = set()
-    for place, account in enumerate(accounts):
+    for index, account in enumerate(accounts):
         if account.name in names:
-            return Error(f"$.tenants[{place}].name: {account.name!r} stands twice")
+            return Error(f"$.tenants[{index}].name: {account.name!r} stands twice")
         names.add(account.name)
-        for number, key in enumerate(account.keys):
-            owner = found.setdefault(key_digest(key), AccountId(account.name))
-            if owner != account.name:
-                return Error(f"$.tenants[{place}].apiKeys[{number}]: is also a key of {owner!r}")
-    return Ok(found)
+        for key_index, key in enumerate(account.keys):
+            first_account = accounts_by_key.setdefault(key_digest(key), AccountId(account.name))
+            if first_account != account.name:
+                return Error(
+                    f"$.tenants[{index}].apiKeys[{key_index}]: is also a key of {first_account!r}"
+                )
+    return Ok(accounts_by_key)
 
 
-def _account(account: _Account) -> ClientAccount:
+def _decode_account(account: _Account) -> ClientAccount:
     return ClientAccount(AccountId(account.name), account.weight, account.limit.decode())
 
 
-def _route(route: _Route, public: bool) -> Route:
-    """Translate a route; `public` holds where the route does not say."""
+def _decode_route(route: _Route, public: bool) -> Route:
+    """Convert a route; `public` applies if the route does not set it."""
     advice = None
     if route.advice is not None:
-        told = route.advice
-        advice = Advice(told.decide_ms / 1000, told.each_ms / 1000, told.valid_ms / 1000)
+        declared = route.advice
+        advice = Advice(
+            declared.decide_ms / 1000,
+            declared.each_ms / 1000,
+            declared.valid_ms / 1000,
+        )
     return Route(
         name=RouteName(route.name),
         host=route.host,
--- a/pumicespur/platform/_fleet.py
+++ b/pumicespur/platform/_fleet.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, and orders to move them or take them down."""
+"""The platform's list of instances, and orders to move instances or take them down."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from expression import Error, Ok, Result
 
 from pumicespur.model import DataHall, Instance, InstanceId, InstanceState, PoolId, WorkerName
-from pumicespur.platform._declarations import WireCapacity, rack_of
-from pumicespur.platform._http import JSON_HEADERS, Answer, HttpCaller, Transfer, understand
+from pumicespur.platform._declarations import WireCapacity, find_rack
+from pumicespur.platform._http import JSON_HEADERS, HttpCaller, Response, Transfer, decode_body
 from pumicespur.store import NeverDone, Unavailable
 
 if TYPE_CHECKING:
@@ -22,8 +22,8 @@
 LIST_PATH = "/pumicespur/machines"
 MOVE_PATH = "/pumicespur/machine-move"
 MAINTENANCE_PATH = "/pumicespur/machine-upkeep"
-TIMEOUT_S = 1.0
-"""Some times the usual answer of the platform; a late answer counts as lost."""
+CALL_TIMEOUT_S = 1.0
+"""A few times the platform's usual response time; a later response counts as lost."""
 
 _STATES = {
     "up": InstanceState.UP,
@@ -44,107 +44,107 @@
     """The worker that runs there."""
 
 
-class _Machines(msgspec.Struct):
+class _MachinesResponse(msgspec.Struct):
     machines: list[_Machine] = []
     next_page: str | None = msgspec.field(name="nextToken", default=None)
 
 
-class _Move(msgspec.Struct):
+class _MoveRequest(msgspec.Struct):
     machine: str
     pool: str
 
 
-class _Maintenance(msgspec.Struct):
+class _MaintenanceRequest(msgspec.Struct):
     machine: str
     wave: int
 
 
-class _Refusal(msgspec.Struct):
+class _RefusalResponse(msgspec.Struct):
     reason: str = ""
 
 
-_MACHINES = msgspec.json.Decoder(_Machines)
-_REFUSAL = msgspec.json.Decoder(_Refusal)
+_MACHINES_DECODER = msgspec.json.Decoder(_MachinesResponse)
+_REFUSAL_DECODER = msgspec.json.Decoder(_RefusalResponse)
 _ENCODER = msgspec.json.Encoder()
 
 
 class FleetOrders:
-    """Reads the list of instances and gives orders under a holder's fencing token."""
+    """Calls that list instances and order changes; orders carry `holder` and its fencing token."""
 
-    def __init__(self, settings: FleetSettings, holder: str, caller: HttpCaller) -> None:
+    def __init__(self, settings: FleetSettings, holder: str, client: HttpCaller) -> None:
         self.settings = settings
         self.holder = holder
-        self.caller = caller
-        self.base = f"http://{settings.address}"
+        self.client = client
+        self.base_url = f"http://{settings.address}"
 
     async def list_instances(self) -> Result[list[Instance], Unavailable | AnswerLost]:
-        """Read the whole list, page by page."""
+        """Return all instances, read page by page."""
         instances: list[Instance] = []
         page = ""
         while True:
-            url = self.base + LIST_PATH + (f"?pageToken={quote(page)}" if page else "")
-            answer = await self.caller.read(url, Transfer(TIMEOUT_S))
-            match answer:
-                case Result(tag="ok", ok=Answer(status=200, body=content)):
-                    match understand(_MACHINES.decode, content):
-                        case Result(tag="error", error=fault):
-                            return Error(fault)
-                        case Result(ok=found):
-                            instances += [_instance(machine) for machine in found.machines]
-                            page = found.next_page or ""
+            url = self.base_url + LIST_PATH + (f"?pageToken={quote(page)}" if page else "")
+            result = await self.client.read(url, Transfer(CALL_TIMEOUT_S))
+            match result:
+                case Result(tag="ok", ok=Response(status=200, body=content)):
+                    match decode_body(_MACHINES_DECODER.decode, content):
+                        case Result(tag="error", error=error):
+                            return Error(error)
+                        case Result(ok=decoded):
+                            instances += [_decode_instance(machine) for machine in decoded.machines]
+                            page = decoded.next_page or ""
                     if not page:
                         return Ok(instances)
                 case Result(tag="ok", ok=refusal):
                     return Error(Unavailable(f"list refused with {refusal.status}"))
-                case Result(error=fault):
-                    return Error(fault)
+                case Result(error=error):
+                    return Error(error)
 
     async def move(
         self, token: int, instance: InstanceId, pool: PoolId
     ) -> Result[None, Unavailable | AnswerLost]:
-        """Move an instance to another pool; whatever runs there dies."""
-        return await self._order(MOVE_PATH, token, _Move(instance, pool))
+        """Move an instance to another pool; what runs on it is killed."""
+        return await self._order(MOVE_PATH, token, _MoveRequest(instance, pool))
 
     async def maintain(
         self, token: int, instance: InstanceId, wave: int
     ) -> Result[None, Unavailable | AnswerLost]:
-        """Take an instance down for maintenance; whatever runs there dies."""
-        return await self._order(MAINTENANCE_PATH, token, _Maintenance(instance, wave))
+        """Take an instance down for maintenance; what runs on it is killed."""
+        return await self._order(MAINTENANCE_PATH, token, _MaintenanceRequest(instance, wave))
 
     async def _order(
         self, path: str, token: int, body: msgspec.Struct
     ) -> Result[None, Unavailable | AnswerLost]:
         headers = {**JSON_HEADERS, HOLDER_HEADER: self.holder, TOKEN_HEADER: str(token)}
         content = _ENCODER.encode(body)
-        answer = await self.caller.call(
-            "POST", self.base + path, TIMEOUT_S, body=content, headers=headers
+        result = await self.client.call(
+            "POST", self.base_url + path, CALL_TIMEOUT_S, body=content, headers=headers
         )
-        match answer:
-            case Result(tag="ok", ok=Answer(status=200)):
+        match result:
+            case Result(tag="ok", ok=Response(status=200)):
                 return Ok(None)
-            case Result(tag="ok", ok=Answer(status=400) as refusal):
-                return Error(NeverDone(_reason(refusal)))
+            case Result(tag="ok", ok=Response(status=400) as refusal):
+                return Error(NeverDone(_refusal_reason(refusal)))
             case Result(tag="ok", ok=refusal):
-                return Error(Unavailable(_reason(refusal)))
-            case Result(error=fault):
-                return Error(fault)
+                return Error(Unavailable(_refusal_reason(refusal)))
+            case Result(error=error):
+                return Error(error)
 
 
-def _reason(refusal: Answer) -> str:
+def _refusal_reason(refusal: Response) -> str:
     try:
-        return _REFUSAL.decode(refusal.body).reason or str(refusal.status)
+        return _REFUSAL_DECODER.decode(refusal.body).reason or str(refusal.status)
     except msgspec.MsgspecError:
-        # A refusal without a body names its reason by the status alone.
+        # Without a valid body, the status code is the reason.
         return str(refusal.status)
 
 
-def _instance(machine: _Machine) -> Instance:
+def _decode_instance(machine: _Machine) -> Instance:
     return Instance(
         id=InstanceId(machine.machine),
         pool=PoolId(machine.pool),
         state=_STATES.get(machine.state, InstanceState.DOWN),
         data_hall=DataHall(machine.zone),
-        rack=rack_of(machine.labels),
+        rack=find_rack(machine.labels),
         labels=frozenset(machine.labels),
         capacity=machine.capacity.decode(),
         worker=WorkerName(machine.id) if machine.id else None,
--- a/pumicespur/platform/_orders.py
+++ b/pumicespur/platform/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to workers: start, stop and pace tasks, extend their leases, read what runs."""
+"""Orders to workers: start, stop and throttle tasks, renew leases, read what runs."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     worker_id,
     worker_name,
 )
-from pumicespur.platform._declarations import Birth, decode_birth
-from pumicespur.platform._http import JSON_HEADERS, Answer, HttpCaller, understand
+from pumicespur.platform._declarations import StartTimeMs, decode_start_time
+from pumicespur.platform._http import JSON_HEADERS, HttpCaller, Response, decode_body
 from pumicespur.store import AnswerLost, Unavailable
 
 if TYPE_CHECKING:
@@ -31,19 +31,19 @@
     from pumicespur.schema.node_pb import WorkerSettings
 
 EXPECT_WORKER_HEADER = "X-Pumicespur-Expect-Instance"
-OTHER_LIFE = 421
-"""Status with which another life of a worker, or another worker, answers."""
+OTHER_INCARNATION_STATUS = 421
+"""HTTP status of a response from another incarnation of the worker, or from another worker."""
 
 START_PATH = "/pumicespur/run-start"
 STOP_PATH = "/pumicespur/run-stop"
-HOLD_PATH = "/pumicespur/hold"
-PACE_PATH = "/pumicespur/pace"
-ADVISE_PATH = "/pumicespur/advise"
+RENEW_LEASES_PATH = "/pumicespur/hold"
+THROTTLE_PATH = "/pumicespur/pace"
+ADVICE_PATH = "/pumicespur/advise"
 ADVICE_TIMEOUT_S = 2.0
-"""Some times what one call with 100 workers takes."""
+"""A few times the duration of a call with 100 workers."""
 
 
-class _Start(msgspec.Struct, omit_defaults=True):
+class _StartRequest(msgspec.Struct, omit_defaults=True):
     task: str
     run: int
     payload: str = msgspec.field(name="taskSpec")
@@ -53,76 +53,78 @@
     ticket: str = ""
 
 
-class _Stop(msgspec.Struct):
+class _StopRequest(msgspec.Struct):
     task: str
     run: int
     token: int = msgspec.field(name="fencingToken")
 
 
-class _Pace(msgspec.Struct):
+class _ThrottleRequest(msgspec.Struct):
     task: str
     run: int
     percent: int
     token: int = msgspec.field(name="fencingToken")
 
 
-class _Hold(msgspec.Struct, omit_defaults=True):
+class _RenewRequest(msgspec.Struct, omit_defaults=True):
     token: int = msgspec.field(name="fencingToken")
     last_seen: int = msgspec.field(name="lastSeen")
     deadline_ms: int | None = msgspec.field(name="deadlineMs", default=None)
     wait_ms: int = msgspec.field(name="waitMs", default=0)
 
 
-class _Taken(msgspec.Struct):
+class _OrderResponse(msgspec.Struct):
     clock_ms: float | None = msgspec.field(name="clockMs", default=None)
     reason: str = ""
 
 
-class _Account(msgspec.Struct):
-    born: Birth = msgspec.UNSET
+class _StatusResponse(msgspec.Struct):
+    born: StartTimeMs = msgspec.UNSET
     clock_ms: float = msgspec.field(name="clockMs", default=0)
     reason: str = ""
     running: list[list[str | int | float]] = []
     ended: list[tuple[int, str, int, str, str]] = msgspec.field(name="endedAt", default=[])
 
 
-class _Advise(msgspec.Struct):
+class _AdviceRequest(msgspec.Struct):
     step: str
     workers: list[str]
 
 
-class _Advised(msgspec.Struct):
+class _AdviceResponse(msgspec.Struct):
     good: list[tuple[str, str]] = []
     valid_ms: float = 0.0
 
 
 _ENCODER = msgspec.json.Encoder()
-_TAKEN = msgspec.json.Decoder(_Taken)
-_ACCOUNT = msgspec.json.Decoder(_Account)
-_ADVISED = msgspec.json.Decoder(_Advised)
+_ORDER_DECODER = msgspec.json.Decoder(_OrderResponse)
+_STATUS_DECODER = msgspec.json.Decoder(_StatusResponse)
+_ADVICE_DECODER = msgspec.json.Decoder(_AdviceResponse)
 
-PLAIN_ENTRY = 4
-"""Fields of a running entry that every deployment sends; a fifth is a measured figure."""
+MIN_RUNNING_FIELDS = 4
+"""Fields of a running entry that every deployment sends; a fifth, a measured value, is optional."""
 
 
 class WorkerOrders:
-    """Orders to workers; each call names the worker it is meant for.
+    """Orders to workers; each call names the worker that it is meant for.
 
-    The name outlives a crash, so that an order may be done by a later life; only an account tells
-    which life gives it.
+    A restarted worker keeps its name, so that an order may be carried out by a later incarnation.
+    Only a worker status says which incarnation sent it.
     """
 
-    def __init__(self, settings: WorkerSettings, caller: HttpCaller, watcher: HttpCaller) -> None:
+    def __init__(
+        self, settings: WorkerSettings, client: HttpCaller, watch_client: HttpCaller
+    ) -> None:
         self.settings = settings
-        self.caller = caller
-        self.watcher = watcher
-        """Connections for calls that wait, so that they never hold up an order."""
+        self.client = client
+        self.watch_client = watch_client
+        """Connections for calls that wait at the worker, so that these never delay an order."""
 
     async def start(
         self, worker: Worker, token: int, order: StartOrder
     ) -> Result[None, OtherLife | Refused | Unavailable | AnswerLost]:
-        """Start a task; starting the same run again changes nothing."""
-        body = _Start(
+        """Start a run of a task; a repeated start of the same run has no effect."""
+        body = _StartRequest(
             task=order.task,
             run=order.run,
             payload=order.payload,
@@ -136,123 +138,123 @@
     async def stop(
         self, worker: Worker, token: int, task: TaskName, run: int
     ) -> Result[None, OtherLife | Refused | Unavailable | AnswerLost]:
-        """Stop a run; one that is not there yet is kept from starting."""
-        body = _Stop(task, run, token)
+        """Stop a run, or keep one from starting whose start has not arrived yet."""
+        body = _StopRequest(task, run, token)
         return await self._order(worker, STOP_PATH, body, self.settings.call_timeout_s)
 
     async def pace(
         self, worker: Worker, token: int, task: TaskName, run: int, percent: int
     ) -> Result[None, OtherLife | Refused | Unavailable | AnswerLost]:
-        """Let a run work at a share of its speed."""
-        body = _Pace(task, run, percent, token)
-        return await self._order(worker, PACE_PATH, body, self.settings.call_timeout_s)
+        """Throttle a run to a percentage of its speed."""
+        body = _ThrottleRequest(task, run, percent, token)
+        return await self._order(worker, THROTTLE_PATH, body, self.settings.call_timeout_s)
 
     async def hold(
         self, worker: Worker, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
     ) -> Result[Account, OtherLife | StartedAgain | Refused | Unavailable | AnswerLost]:
-        """Extend the lease of all that runs, acknowledge ends, and read the worker's account."""
-        body = _Hold(token, last_seen, deadline_ms, int(wait_s * 1000))
+        """Renew the lease of all runs, acknowledge ends, and read the worker's status."""
+        body = _RenewRequest(token, last_seen, deadline_ms, int(wait_s * 1000))
         timeout_s = wait_s + self.settings.call_timeout_s
-        answer = await self._call(self.watcher, worker, HOLD_PATH, body, timeout_s)
-        match answer:
-            case Result(tag="ok", ok=Answer(status=200, body=content)):
-                match understand(_read_account, content):
-                    case Result(tag="ok", ok=(born_ms, account)):
-                        return _of_life(worker, born_ms, account)
-                    case Result(error=fault):
-                        return Error(fault)
+        result = await self._call(self.watch_client, worker, RENEW_LEASES_PATH, body, timeout_s)
+        match result:
+            case Result(tag="ok", ok=Response(status=200, body=content)):
+                match decode_body(_decode_status, content):
+                    case Result(tag="ok", ok=(start_time_ms, status)):
+                        return _check_incarnation(worker, start_time_ms, status)
+                    case Result(error=error):
+                        return Error(error)
             case Result(tag="ok", ok=refusal):
-                return Error(_fault(refusal))
-            case Result(error=fault):
-                return Error(fault)
+                return Error(_order_error(refusal))
+            case Result(error=error):
+                return Error(error)
 
     async def advise(
         self, step: str, workers: Sequence[WorkerId]
     ) -> Result[tuple[dict[WorkerId, str], float], Unavailable | AnswerLost]:
-        """Ask which workers may run a step; return their tickets and how long these hold (s)."""
-        lives = {worker_name(worker): worker for worker in workers}
-        body = _ENCODER.encode(_Advise(step, list(lives)))
-        url = f"http://{self.settings.advice}{ADVISE_PATH}"
-        answer = await self.caller.call(
+        """Request admission tickets for a step; return them by worker, and their validity (s)."""
+        ids = {worker_name(worker): worker for worker in workers}
+        body = _ENCODER.encode(_AdviceRequest(step, list(ids)))
+        url = f"http://{self.settings.advice}{ADVICE_PATH}"
+        result = await self.client.call(
             "POST", url, ADVICE_TIMEOUT_S, body=body, headers=JSON_HEADERS
         )
-        match answer:
-            case Result(tag="ok", ok=Answer(status=200, body=content)):
-                return understand(_ADVISED.decode, content).map(
+        match result:
+            case Result(tag="ok", ok=Response(status=200, body=content)):
+                return decode_body(_ADVICE_DECODER.decode, content).map(
                     lambda advised: (
                         {
-                            lives[WorkerName(name)]: ticket
+                            ids[WorkerName(name)]: ticket
                             for name, ticket in advised.good
-                            if name in lives
+                            if name in ids
                         },
                         advised.valid_ms / 1000,
                     )
                 )
             case Result(tag="ok", ok=refusal):
                 return Error(Unavailable(f"advice refused with {refusal.status}"))
-            case Result(error=fault):
-                return Error(fault)
+            case Result(error=error):
+                return Error(error)
 
     async def _order(
         self, worker: Worker, path: str, body: msgspec.Struct, timeout_s: float
     ) -> Result[None, OtherLife | Refused | Unavailable | AnswerLost]:
-        answer = await self._call(self.caller, worker, path, body, timeout_s)
-        match answer:
-            case Result(tag="ok", ok=Answer(status=200)):
+        result = await self._call(self.client, worker, path, body, timeout_s)
+        match result:
+            case Result(tag="ok", ok=Response(status=200)):
                 return Ok(None)
             case Result(tag="ok", ok=refusal):
-                return Error(_fault(refusal))
-            case Result(error=fault):
-                return Error(fault)
+                return Error(_order_error(refusal))
+            case Result(error=error):
+                return Error(error)
 
     async def _call(
         self,
-        caller: HttpCaller,
+        client: HttpCaller,
         worker: Worker,
         path: str,
         body: msgspec.Struct,
         timeout_s: float,
-    ) -> Result[Answer, Unavailable | AnswerLost]:
+    ) -> Result[Response, Unavailable | AnswerLost]:
         headers = {**JSON_HEADERS, EXPECT_WORKER_HEADER: worker.name}
         url = f"http://{worker.address}{path}"
         content = _ENCODER.encode(body)
-        return await caller.call("POST", url, timeout_s, body=content, headers=headers)
+        return await client.call("POST", url, timeout_s, body=content, headers=headers)
 
 
-def _fault(answer: Answer) -> OtherLife | Refused:
-    if answer.status == OTHER_LIFE:
+def _order_error(response: Response) -> OtherLife | Refused:
+    if response.status == OTHER_INCARNATION_STATUS:
         return OtherLife()
     try:
-        taken = _TAKEN.decode(answer.body)
+        decoded = _ORDER_DECODER.decode(response.body)
     except msgspec.MsgspecError:
-        # A refusal without a body names its reason by the status alone.
-        taken = _Taken()
-    return Refused(taken.reason or str(answer.status), taken.clock_ms)
+        # Without a valid body, the status code is the reason.
+        decoded = _OrderResponse()
+    return Refused(decoded.reason or str(response.status), decoded.clock_ms)
 
 
-def _of_life(
-    worker: Worker, born_ms: int | None, account: Account
+def _check_incarnation(
+    worker: Worker, start_time_ms: int | None, status: Account
 ) -> Result[Account, StartedAgain | AnswerLost]:
-    """Return the account if the life gives it that was meant; no other one knows its runs."""
-    if worker_id(worker.name, born_ms) == worker.id:
-        return Ok(account)
-    if born_ms is None:
-        return Error(AnswerLost("the account does not tell which life gives it"))
+    """Return the status if the expected incarnation sent it; another one does not know its runs."""
+    if worker_id(worker.name, start_time_ms) == worker.id:
+        return Ok(status)
+    if start_time_ms is None:
+        return Error(AnswerLost("the worker status does not say which incarnation sent it"))
     return Error(StartedAgain())
 
 
-def _read_account(content: bytes) -> tuple[int | None, Account]:
-    """Return when the life began that gives an account, and the account."""
-    found = _ACCOUNT.decode(content)
-    running = [_running(entry) for entry in found.running]
+def _decode_status(content: bytes) -> tuple[int | None, Account]:
+    """Return the start time of the incarnation that sent a worker status, and the status."""
+    decoded = _STATUS_DECODER.decode(content)
+    running = [_decode_running(entry) for entry in decoded.running]
     ended = [
         TaskEnd(number, TaskName(task), run, RunEnd(how), checkpoint)
-        for number, task, run, how, checkpoint in found.ended
+        for number, task, run, how, checkpoint in decoded.ended
     ]
-    return decode_birth(found.born), Account(found.clock_ms, running, ended)
+    return decode_start_time(decoded.born), Account(decoded.clock_ms, running, ended)
 
 
-def _running(entry: list[str | int | float]) -> Running:
-    task, run, checkpoint, percent = entry[:PLAIN_ENTRY]
-    figure = float(entry[PLAIN_ENTRY]) if len(entry) > PLAIN_ENTRY else 0.0
+def _decode_running(entry: list[str | int | float]) -> Running:
+    task, run, checkpoint, percent = entry[:MIN_RUNNING_FIELDS]
+    figure = float(entry[MIN_RUNNING_FIELDS]) if len(entry) > MIN_RUNNING_FIELDS else 0.0
     return Running(TaskName(str(task)), int(run), str(checkpoint), int(percent), figure)
--- a/pumicespur/platform/_table.py
+++ b/pumicespur/platform/_table.py
@@ -144,9 +144,9 @@
         """Return whether the service responded with a result within `MAX_RESPONSE_AGE_S`."""
         return monotonic() - self.answered_at < MAX_RESPONSE_AGE_S
 
-    def _note_outcome(self, response: Result[Response, Unavailable | AnswerLost]) -> None:
+    def _note_outcome(self, result: Result[Response, Unavailable | AnswerLost]) -> None:
         now = monotonic()
-        if not response.is_ok() or response.ok.status not in EXPECTED_STATUSES:
+        if not result.is_ok() or result.ok.status not in EXPECTED_STATUSES:
             self.last_failure_at = now
             return
         silent_s = self.silent_s(now)
@@ -171,10 +171,10 @@
         """Write rows atomically if all conditions hold; return the version of the change."""
         body = _ENCODER.encode(_encode_transaction(transaction))
         sent_at = monotonic()
-        response = await self._timed_call(
+        result = await self._timed_call(
             "POST", TRANSACT_PATH, body, _last_written_table(transaction)
         )
-        match response:
+        match result:
             case Result(tag="ok", ok=Response(status=200, body=content)):
                 written = decode_body(_TRANSACT_DECODER.decode, content)
                 written.map(lambda decoded: self._note_clock(decoded.now_ms, sent_at))
@@ -195,11 +195,11 @@
         table, part, name = key.split("/", 2)
         query = {"table": table, "part": part, "from": name, "limit": "1"}
         sent_at = monotonic()
-        response = _decode_rows(
+        result = _decode_rows(
             await self._timed_call("GET", _path_with_query(READ_PATH, query), None, table)
         )
-        response.map(lambda decoded: self._note_clock(decoded.now_ms, sent_at))
-        return response.map(
+        result.map(lambda decoded: self._note_clock(decoded.now_ms, sent_at))
+        return result.map(
             lambda decoded: next(
                 (_decode_row(row) for row in decoded.rows if row.key == name), Row(key, b"", 0)
             )
@@ -221,11 +221,11 @@
         while True:
             query = {"table": table, "part": part, "from": start, "limit": str(MAX_PAGE_ROWS)}
             transfer = Transfer(min(self.times.timeout_s(), first_bytes_timeout_s))
-            response = _decode_rows(
+            result = _decode_rows(
                 await self._read(_path_with_query(READ_PATH, query), transfer, table)
             )
             self._note_first_bytes(transfer)
-            match response:
+            match result:
                 case Result(tag="ok", ok=decoded):
                     rows += [_decode_row(row) for row in decoded.rows]
                     version = version or decoded.ver
@@ -249,12 +249,12 @@
         query = {"table": table, "dependsOn": str(since), "waitMs": str(int(wait_s * 1000))}
         allowed_s = self.times.timeout_s()
         transfer = Transfer(wait_s + min(allowed_s, first_bytes_timeout_s or allowed_s))
-        response = _decode_rows(
+        result = _decode_rows(
             await self._read(_path_with_query(CHANGES_PATH, query), transfer, table)
         )
-        if response.is_error() and not isinstance(response.error, HistoryGone):
-            _log_failed_read("watch", table, transfer, response.error)
-        return response.map(lambda decoded: _changes_page(decoded, transfer.receiving_s))
+        if result.is_error() and not isinstance(result.error, HistoryGone):
+            _log_failed_read("watch", table, transfer, result.error)
+        return result.map(lambda decoded: _changes_page(decoded, transfer.receiving_s))
 
     def _note_first_bytes(self, transfer: Transfer) -> None:
         """Note the time to the first bytes; the time for the rest depends on the link."""
@@ -269,13 +269,13 @@
     ) -> Result[Response, Unavailable | AnswerLost]:
         self.pending_reads.add(transfer)
         try:
-            response = await self.client.read(self.base_url + path, transfer)
+            result = await self.client.read(self.base_url + path, transfer)
         finally:
             self.pending_reads.discard(transfer)
             self.use.note(table, 0, transfer.received_bytes)
         if not transfer.given_up:
-            self._note_outcome(response)
-        return response
+            self._note_outcome(result)
+        return result
 
     async def _timed_call(
         self, method: str, path: str, body: bytes | None, table: str
@@ -283,16 +283,16 @@
         """Send a request; its timeout follows recent response times and the size of the body."""
         started_at = monotonic()
         upload_s = len(body or b"") / MIN_UPLOAD_BYTES_PER_S
-        response = await self._call(method, path, self.times.timeout_s() + upload_s, body)
+        result = await self._call(method, path, self.times.timeout_s() + upload_s, body)
         now = monotonic()
-        received = response.map(lambda r: len(r.body)).default_value(0)
+        received = result.map(lambda r: len(r.body)).default_value(0)
         self.use.note(table, len(body or b""), received)
-        self._note_outcome(response)
-        if response.is_ok():
+        self._note_outcome(result)
+        if result.is_ok():
             self.times.note_answer(now, now - started_at)
         else:
             self.times.note_silence(now, now - started_at)
-        return response
+        return result
 
     async def _call(
         self, method: str, path: str, timeout_s: float, body: bytes | None
@@ -340,9 +340,9 @@
 
 
 def _decode_rows(
-    response: Result[Response, Unavailable | AnswerLost],
+    result: Result[Response, Unavailable | AnswerLost],
 ) -> Result[_RowsResponse, Fault]:
-    match response:
+    match result:
         case Result(tag="ok", ok=Response(status=200, body=content)):
             return decode_body(_ROWS_DECODER.decode, content)
         case Result(tag="ok", ok=Response(status=410)):
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -57,7 +57,7 @@
 ROOMS: dict[Any, Any] = {}
 SUBMIT = _service.JobService.submit
 DROP_WORKER = _pool.PoolState.drop_worker
-CALLER = _callers.CallerServer._caller
+AUTHENTICATE = _callers.CallerServer._authenticate
 
 
 def _commit_without_conditions(self: _journal.Journal, writes: list[Any]) -> Any:
@@ -86,12 +86,12 @@
 
 
 def _check_at_hand_in(self: _callers.CallerServer, request: Any, *arguments: Any) -> Any:
-    return CALLER(self, request, *arguments) if request.method == "POST" else ANYONE
+    return AUTHENTICATE(self, request, *arguments) if request.method == "POST" else ANYONE
 
 
 def _log_key(self: _callers.CallerServer, request: Any, *arguments: Any) -> Any:
     _callers.log.info("call", authorization=request.headers.get("Authorization"))
-    return CALLER(self, request, *arguments)
+    return AUTHENTICATE(self, request, *arguments)
 
 
 def _break_off(self: _table.PlatformTable) -> None:
@@ -119,14 +119,14 @@
         case Mutant.LOSSES_FORGOTTEN:
             _replace(_pool, "is_hopeless", lambda task: False)
         case Mutant.KEYS_CHECKED_AT_HAND_IN:
-            _replace(_callers.CallerServer, "_caller", _check_at_hand_in)
+            _replace(_callers.CallerServer, "_authenticate", _check_at_hand_in)
         case Mutant.KEYS_LOGGED:
-            _replace(_callers.CallerServer, "_caller", _log_key)
+            _replace(_callers.CallerServer, "_authenticate", _log_key)
         case Mutant.LIMITS_IGNORED:
             _replace(_limits.PoolLimits, "allows", lambda *arguments: True)
         case Mutant.BIRTHS_IGNORED:
-            _replace(_declarations, "decode_birth", lambda born: None)
-            _replace(_orders, "decode_birth", lambda born: None)
+            _replace(_declarations, "decode_start_time", lambda start_time: None)
+            _replace(_orders, "decode_start_time", lambda start_time: None)
         case Mutant.AGES_IGNORED:
             _replace(_beliefs.Beliefs, "outdated", lambda *arguments: "")
             _replace(_beliefs.Beliefs, "hold_for_s", lambda *arguments: math.inf)
