--- a/pumicespur/platform/_table.py
+++ b/pumicespur/platform/_table.py
@@ -325,7 +325,7 @@
     """Log a failed read; received bytes tell a slow link from a dead connection."""
     METRICS.broken_off.inc({"kind": kind, "receiving": str(transfer.received_bytes > 0).lower()})
     log.info(
-        "read failed",
+        "store read failed",
         kind=kind,
         table=table,
         reason=str(error),
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -37,18 +37,18 @@
 
 
 def configuration(*accounts: dict[str, Any], **route: Any) -> bytes:
-    """Write a configuration with one route."""
+    """Encode a configuration with one route."""
     made = {"name": "quick", "host": "host", "pathPrefix": "/quick/", "backend": "main", **route}
     return json.dumps({"version": 1, "routes": [made], "tenants": list(accounts)}).encode()
 
 
 def account(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
-    """Write an account."""
+    """Build the declaration of an account."""
     return {"name": name, "apiKeys": list(keys), **fields}
 
 
 class DeclarationTest(unittest.TestCase):
-    """Accounts as operators declare them."""
+    """Accounts in the operators' configuration."""
 
     def decode(self, content: bytes) -> Configuration:
         match decode_configuration(content):
@@ -77,7 +77,7 @@
         found = self.decode(configuration(account("a", KEY), public=True))
         self.assertTrue(found.routes[RouteName("quick")].public)
 
-    def test_errors_name_their_place_and_no_key(self) -> None:
+    def test_errors_name_the_field_and_no_key(self) -> None:
         cases = {
             "$.tenants[1].apiKeys[0]": [account("a", KEY), account("b", KEY)],
             "$.tenants[1].name": [account("a", KEY), account("a", NEXT_KEY)],
@@ -91,16 +91,16 @@
                 self.assertIn(place, reason)
                 self.assertFalse(any(secret in reason for secret in SECRETS), reason)
 
-    def test_no_key_stands_in_what_is_shown_of_a_configuration(self) -> None:
+    def test_repr_of_a_configuration_contains_no_key(self) -> None:
         found = self.decode(configuration(account("a", KEY)))
         self.assertNotIn(KEY, repr(found))
         self.assertNotIn(key_digest(KEY).hex(), repr(found))
 
 
 class HeaderTest(unittest.TestCase):
-    """The header in which a caller shows its key."""
+    """The header with a caller's key."""
 
-    def test_only_the_bearer_scheme_counts(self) -> None:
+    def test_only_the_bearer_scheme_is_accepted(self) -> None:
         self.assertEqual(KEY, bearer_key(f"Bearer {KEY}"))
         self.assertEqual(KEY, bearer_key(f"bearer  {KEY} "))
         for header in ("", KEY, f"Basic {KEY}", "Bearer", "Bearer "):
@@ -109,27 +109,27 @@
 
 
 class AccessTest(unittest.TestCase):
-    """Which callers a job is there for."""
+    """Which callers a job is visible to."""
 
-    def there(self, owner: str, caller: str, route: str = "quick") -> bool:
+    def is_visible(self, owner: str, caller: str, route: str = "quick") -> bool:
         job = JobRecord(id="0" * 16, route=route, account=owner)
         return is_there_for(AccountId(caller), ROUTE, job)
 
-    def test_job_is_there_for_its_own_account_only(self) -> None:
-        self.assertTrue(self.there("a", "a"))
-        self.assertFalse(self.there("a", "b"))
+    def test_job_is_visible_to_its_own_account_only(self) -> None:
+        self.assertTrue(self.is_visible("a", "a"))
+        self.assertFalse(self.is_visible("a", "b"))
 
-    def test_job_without_an_account_is_there_for_all(self) -> None:
-        self.assertTrue(self.there("", "b"))
-        self.assertTrue(self.there("", ANYONE))
+    def test_job_without_an_account_is_visible_to_all(self) -> None:
+        self.assertTrue(self.is_visible("", "b"))
+        self.assertTrue(self.is_visible("", ANYONE))
 
     def test_public_route_shows_its_own_jobs_and_no_others(self) -> None:
-        self.assertTrue(self.there("a", ANYONE))
-        self.assertFalse(self.there("a", ANYONE, route="slow"))
+        self.assertTrue(self.is_visible("a", ANYONE))
+        self.assertFalse(self.is_visible("a", ANYONE, route="slow"))
 
 
 class RefusalsTest(unittest.TestCase):
-    """What an operator is told of refused calls."""
+    """What operators can see of refused calls."""
 
     def setUp(self) -> None:
         self.view = NodeView()
@@ -146,7 +146,7 @@
         self.assertFalse(any(secret in str(told) for secret in SECRETS))
         return str(told["refused"])
 
-    def test_key_that_was_taken_away_is_told_from_an_unknown_one(self) -> None:
+    def test_revoked_key_is_distinguished_from_an_unknown_one(self) -> None:
         self.take(1, KEY)
         self.take(2, NEXT_KEY)
         self.assertIn("taken away by configuration 2", self.reason(KEY))
@@ -154,7 +154,7 @@
         self.assertIn("not known yet", self.reason(NEXT_KEY))
         self.assertIn("no key was shown", self.reason(None))
 
-    def test_a_bounded_number_is_kept(self) -> None:
+    def test_only_the_newest_refusals_are_kept(self) -> None:
         for number in range(REFUSALS_KEPT + 5):
             self.refusals.note(JobId(f"{number}"), None, 1)
         self.assertEqual(REFUSALS_KEPT, len(self.refusals.newest))
@@ -162,9 +162,9 @@
 
 
 class VersionTest(unittest.TestCase):
-    """Which configuration a key is judged by."""
+    """Which configuration decides whether a key is valid."""
 
-    def test_older_configuration_never_comes_back(self) -> None:
+    def test_older_configuration_does_not_replace_a_newer_one(self) -> None:
         view = NodeView()
         for version, key in ((2, NEXT_KEY), (1, KEY), (2, KEY)):
             keys = {key_digest(key): AccountId("a")}
@@ -173,7 +173,7 @@
 
 
 class KeyedCallsTest(NodeCase):
-    """Calls with and without keys, to a process."""
+    """Calls to a process, with and without keys."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -190,7 +190,7 @@
         return status
 
     async def wait_status(self, key: str, wanted: int) -> None:
-        """Ask until a configuration is in force."""
+        """Repeat a call until it gets the status of a newer configuration."""
         status = 0
         while status != wanted:
             status = await self.ask(key)
@@ -203,13 +203,13 @@
         self.assertEqual(401, status)
         self.assertEqual([], self.world.history)
 
-    async def test_refusal_tells_how_to_show_a_key(self) -> None:
+    async def test_refusal_names_the_authentication_scheme(self) -> None:
         assert self.world.session is not None
         url = f"http://{self.node.address('callers')}/quick/{job_id(1)}"
         async with self.world.session.get(url, headers={"Host": "jobs.example"}) as answer:
             self.assertEqual("Bearer", answer.headers["WWW-Authenticate"])
 
-    async def test_job_is_not_there_for_another_account(self) -> None:
+    async def test_job_is_not_visible_to_another_account(self) -> None:
         self.assertEqual(200, await self.ask(KEY, "POST"))
         await self.world.wait_for(lambda: len(self.world.history) == 2, "both tasks run")
         self.assertEqual(410, await self.ask(OTHER_KEY))
@@ -217,7 +217,7 @@
         self.assertEqual(409, await self.ask(OTHER_KEY, "POST"))
         self.assertEqual(200, await self.ask(KEY, "POST"))
         self.assertEqual(200, await self.ask(KEY, "DELETE"))
-        # Its end is recorded, and its id stays the account's.
+        # The end is recorded, and the id still belongs to the account.
         self.assertEqual(410, await self.ask(OTHER_KEY))
         self.assertEqual(409, await self.ask(OTHER_KEY, "POST"))
 
@@ -230,11 +230,11 @@
         self.world.set_account("a", NEXT_KEY)
         self.world.configure(4)
         await self.wait_status(KEY, 401)
-        # The job that came with the old key goes on, and is still the account's.
+        # The job submitted with the old key goes on, and still belongs to the account.
         self.assertEqual(200, await self.ask(NEXT_KEY))
         self.assertTrue(all(run.ended_at is None for run in self.world.history))
 
-    async def test_no_key_stands_in_logs_dumps_or_rows(self) -> None:
+    async def test_logs_and_rows_contain_no_key(self) -> None:
         await self.ask(KEY, "POST")
         await self.ask("k-unknown", "POST", 2)
         rows = [row for place, row in self.world.store.rows.items() if place[0] != "op"]
@@ -244,7 +244,7 @@
             self.assertNotIn(secret, shown)
         self.assertIn(f'"call refused","job":"{job_id(2)}"', shown)
 
-    async def test_bad_accounts_leave_the_configuration_before_in_force(self) -> None:
+    async def test_invalid_accounts_leave_the_previous_configuration_in_force(self) -> None:
         self.world.accounts.append({"name": "a", "apiKeys": []})
         self.world.configure(3)
         await self.world.wait_for(
@@ -254,9 +254,9 @@
 
 
 class PublicRouteTest(NodeCase):
-    """A route that needs no key beside accounts that have some."""
+    """A public route, although accounts with keys are declared."""
 
-    async def test_nobody_needs_a_key(self) -> None:
+    async def test_call_without_a_key_is_served(self) -> None:
         self.world.set_account("a", KEY)
         self.world.configure(2, public=True)
         self.assertEqual(200, await self.world.submit(self.node, job_id(1), [STEP]))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of what the adapter makes of what others write into the platform's store."""
+"""Tests of decoding rows that others write into the platform's store."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 from tests.test_node import STEP, NodeCase, job_id
 
 W = WorkerName("w")
-BORN = 1_776_052_017_694
-ANY_BUT_BIRTHS: tuple[Any, ...] = (True, 1.5, -1, 0, [1], {}, "1776052017694", None)
+START_TIME_MS = 1_776_052_017_694
+INVALID_START_TIMES: tuple[Any, ...] = (True, 1.5, -1, 0, [1], {}, "1776052017694", None)
 
 
 class WorkerEntryTest(unittest.TestCase):
-    """A worker's description, and what is none."""
+    """Valid and invalid entries of workers."""
 
-    def refused(self, **changes: Any) -> bool:
+    def is_rejected(self, **changes: Any) -> bool:
         entry = {k: v for k, v in {**USUAL_ENTRY, **changes}.items() if v is not None}
         return decode_worker(W, json.dumps(entry).encode()).is_error()
 
@@ -41,12 +41,12 @@
         self.assertEqual(("main", "r1-1"), (worker.pool, worker.rack))
         self.assertIs(WorkerState.READY, worker.state)
 
-    def test_missing_fields_name_no_worker(self) -> None:
+    def test_entry_with_a_missing_field_is_rejected(self) -> None:
         for field in ("backend", "address", "zone", "state", "capacity"):
             with self.subTest(field):
-                self.assertTrue(self.refused(**{field: None}))
+                self.assertTrue(self.is_rejected(**{field: None}))
 
-    def test_fields_of_another_type_name_no_worker(self) -> None:
+    def test_entry_with_a_field_of_another_type_is_rejected(self) -> None:
         wrong: dict[str, Any] = {
             "backend": 7,
             "address": ["10.0.0.1", 80],
@@ -60,26 +60,26 @@
         }
         for field, value in wrong.items():
             with self.subTest(field):
-                self.assertTrue(self.refused(**{field: value}))
+                self.assertTrue(self.is_rejected(**{field: value}))
 
-    def test_values_that_mean_nothing_here_name_no_worker(self) -> None:
-        self.assertTrue(self.refused(state="resting"))
-        self.assertTrue(self.refused(address="nowhere"))
-        self.assertTrue(self.refused(capacity={"cpu": -1}))
+    def test_entry_with_an_invalid_value_is_rejected(self) -> None:
+        self.assertTrue(self.is_rejected(state="resting"))
+        self.assertTrue(self.is_rejected(address="nowhere"))
+        self.assertTrue(self.is_rejected(capacity={"cpu": -1}))
 
-    def test_birth_is_a_whole_number_or_the_entry_names_no_worker(self) -> None:
-        for value in ANY_BUT_BIRTHS:
+    def test_entry_with_an_invalid_start_time_is_rejected(self) -> None:
+        for value in INVALID_START_TIMES:
             with self.subTest(value=value):
                 entry = json.dumps({**USUAL_ENTRY, "born": value}).encode()
                 self.assertTrue(decode_worker(W, entry).is_error())
 
-    def test_birth_tells_one_life_from_the_next(self) -> None:
-        lives = [
+    def test_start_time_distinguishes_incarnations(self) -> None:
+        workers = [
             decode_worker(W, json.dumps({**USUAL_ENTRY, "born": born}).encode()).ok
-            for born in (BORN, BORN + 1)
+            for born in (START_TIME_MS, START_TIME_MS + 1)
         ]
-        self.assertNotEqual(*[worker.id for worker in lives])
-        self.assertEqual([W, W], [worker.name for worker in lives])
+        self.assertNotEqual(*[worker.id for worker in workers])
+        self.assertEqual([W, W], [worker.name for worker in workers])
 
     @given(
         st.binary()
@@ -87,15 +87,15 @@
             lambda value: json.dumps(value).encode()
         )
     )
-    def test_any_bytes_are_borne(self, value: bytes) -> None:
+    def test_arbitrary_bytes_are_rejected_without_an_exception(self, value: bytes) -> None:
         self.assertTrue(decode_worker(W, value).is_error())
 
-    def test_deep_nesting_is_borne(self) -> None:
+    def test_deep_nesting_is_rejected_without_an_exception(self) -> None:
         self.assertTrue(decode_worker(W, b'{"more":' + b"[" * 100_000).is_error())
 
 
 class WorkerListTest(unittest.TestCase):
-    """Rows of the workers' table as an owner takes them in."""
+    """Rows of the workers' table as an owner applies them."""
 
     def setUp(self) -> None:
         self.view = NodeView()
@@ -105,32 +105,32 @@
     def take(self, key: str, value: bytes, version: int = 1) -> None:
         self.list._take([Row(key, value, version)], False)
 
-    def test_entry_of_before_that_comes_again_does_not_bring_an_earlier_life_back(self) -> None:
-        for born, version in ((BORN, 5), (BORN + 1, 9), (BORN, 7)):
+    def test_repeated_older_entry_does_not_restore_an_earlier_incarnation(self) -> None:
+        for born, version in ((START_TIME_MS, 5), (START_TIME_MS + 1, 9), (START_TIME_MS, 7)):
             self.take("servers//w", json.dumps({**USUAL_ENTRY, "born": born}).encode(), version)
-        self.assertEqual(worker_id(W, BORN + 1), self.view.workers[W].id)
+        self.assertEqual(worker_id(W, START_TIME_MS + 1), self.view.workers[W].id)
 
-    def test_entry_that_can_not_be_read_takes_the_place_of_the_one_before(self) -> None:
+    def test_invalid_entry_replaces_the_previous_one(self) -> None:
         self.take("servers//w", json.dumps(USUAL_ENTRY).encode())
         self.assertEqual(["w"], list(self.view.workers))
         self.take("servers//w", b"\xff")
         self.assertEqual([], list(self.view.workers))
 
-    def test_entry_without_a_birth_is_another_writers_where_workers_tell_theirs(self) -> None:
+    def test_entry_without_a_start_time_is_ignored_where_others_have_one(self) -> None:
         without = {name: value for name, value in USUAL_ENTRY.items() if name != "born"}
         for name in ("v", "w"):
             self.take(f"servers//{name}", json.dumps(USUAL_ENTRY).encode())
         self.take("servers//w", json.dumps(without).encode())
         self.assertEqual(["v"], list(self.view.workers))
 
-    def test_platform_that_tells_no_births_is_served(self) -> None:
+    def test_platform_without_start_times_is_supported(self) -> None:
         without = {name: value for name, value in USUAL_ENTRY.items() if name != "born"}
         for name in ("u", "v", "w"):
             self.take(f"servers//{name}", json.dumps(without).encode())
         self.take("servers//x", json.dumps(USUAL_ENTRY).encode())
         self.assertEqual(["u", "v", "w", "x"], list(self.view.workers))
 
-    def test_row_of_another_part_says_nothing_of_a_namesake(self) -> None:
+    def test_row_of_another_part_does_not_affect_the_worker_of_the_same_name(self) -> None:
         self.take("servers//w", json.dumps(USUAL_ENTRY).encode())
         self.take("servers/elsewhere/w", b"\xff")
         self.take("servers/elsewhere/v", json.dumps(USUAL_ENTRY).encode())
@@ -138,7 +138,7 @@
 
 
 class SuccessorEntryTest(unittest.TestCase):
-    """An entry that names the instance of a worker whose own entry has lapsed."""
+    """An entry that names the instance of a worker whose own entry has expired."""
 
     def has_successor(self, pool: str) -> bool:
         worker = make_worker("w")
@@ -149,15 +149,15 @@
         watch: Any = SimpleNamespace(load=WorkerLoad(worker))
         return PoolOwner._has_successor(owner, watch)
 
-    def test_it_ends_the_worker_only_if_it_names_a_pool_that_is_known(self) -> None:
+    def test_successor_counts_only_if_its_pool_is_known(self) -> None:
         self.assertTrue(self.has_successor("main"))
         self.assertFalse(self.has_successor("nowhere"))
 
 
 class ForeignEntriesTest(NodeCase):
-    """Entries of other writers stand between those of the workers."""
+    """The workers' table also contains entries of other writers."""
 
-    async def test_the_workers_beside_them_are_used(self) -> None:
+    async def test_valid_workers_beside_them_are_used(self) -> None:
         for number, entry in enumerate(FOREIGN_ENTRIES):
             self.world.store.put(("servers", "", f"foreign-{number}"), entry)
         self.assertEqual(200, await self.world.submit(self.node, job_id(1), [STEP]))
@@ -169,7 +169,7 @@
         used = {run.worker for run in self.world.history}
         self.assertFalse([name for name in used if name.startswith("foreign")])
 
-    async def test_worker_whose_entry_can_not_be_read_gets_nothing_new(self) -> None:
+    async def test_worker_whose_entry_is_invalid_gets_no_new_tasks(self) -> None:
         victim = self.world.workers["m-0"]
         self.world.store.put(("servers", "", victim.id), FOREIGN_ENTRIES[-1])
         await self.world.wait_for(
