--- a/pumicespur/platform/_callers.py
+++ b/pumicespur/platform/_callers.py
@@ -183,8 +183,8 @@
         if configuration is None:
             return _error_response(503, "no configuration yet")
         if self.context.configuration_outdated():
-            # The route may be missing in an outdated configuration only, but a 404 would tell the
-            # caller not to retry.
+            # A route that is unknown here may exist in a newer configuration, but a 404 would tell
+            # the caller not to retry.
             return _error_response(503, "the configuration here is out of date; nothing was done")
         path = request.raw_path.partition("?")[0]
         route = configuration.match(request.headers.get("Host", "").lower(), path)
