--- a/pumicespur/model/__init__.py
+++ b/pumicespur/model/__init__.py
@@ -1,4 +1,4 @@
-"""What the product knows of routes, pools, workers and instances, free of any wire format."""
+"""Data classes, ids and enums of routes, pools, workers and instances, without wire formats."""
 
 from __future__ import annotations
 
--- a/pumicespur/model/_accounts.py
+++ b/pumicespur/model/_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: who calls, by which keys, with which share and limit."""
+"""Client accounts: their ids, key digests, guaranteed rates and limits."""
 
 from __future__ import annotations
 
@@ -12,34 +12,35 @@
 AccountId = NewType("AccountId", str)
 
 KeyDigest = NewType("KeyDigest", bytes)
-"""What is kept of a key: enough to recognise it, too little to call with it."""
+"""Digest of an API key: enough to recognize the key, not enough to call with it."""
 
 ANYONE = AccountId("")
-"""Who calls a public route; nobody needs a key there."""
+"""The account of callers of public routes, which need no key."""
 
 DIGEST_BYTES = 16
-"""Length of a key's digest; two of 100,000 keys have the same one with a chance of 2**-95."""
+"""Length of a key's digest; the chance that two of 100,000 keys have the same one is 2**-95."""
 
-SIGNS_TOLD = 8
-"""Hexadecimal digits of a digest that operators are told, to tell a few keys apart."""
+DIGEST_PREFIX_DIGITS = 8
+"""Hexadecimal digits of a digest shown to operators, to distinguish a few keys."""
 
 
 @dataclass(frozen=True)
 class ClientAccount:
-    """What the operators say of an account, its keys apart."""
+    """A client account as the operators declare it, without its keys."""
 
     id: AccountId
     weight: float
-    """Jobs a second that are served before what other accounts send beyond theirs; 0 for any."""
+    """Jobs per second that take precedence over what other accounts send beyond their own weight; 0
+    for any number."""
     limit: Capacity
-    """What the account may have running over all workers; 0 for no limit."""
+    """Max capacity that the account's tasks may use over all workers; 0 for no limit."""
 
 
 def key_digest(key: str) -> KeyDigest:
-    """Return what a key is recognised by."""
+    """Return the digest by which a key is recognized."""
     return KeyDigest(hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES).digest())
 
 
 def digest_signs(digest: KeyDigest) -> str:
-    """Return the part of a digest that logs and operators may see."""
-    return digest.hex()[:SIGNS_TOLD]
+    """Return the first hexadecimal digits of a digest, for logs and operators."""
+    return digest.hex()[:DIGEST_PREFIX_DIGITS]
--- a/pumicespur/model/_configuration.py
+++ b/pumicespur/model/_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: routes, pools and waves."""
+"""The operators' configuration: routes, pools, client accounts and waves."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 
 @dataclass(frozen=True)
 class Advice:
-    """What the advising service takes for a call, and how long its word holds, in seconds."""
+    """Cost of a call to the placement advice service, and validity of the admission tickets."""
 
     decide_s: float
+    """Time that the service takes for a call, without the workers."""
     each_s: float
+    """Time that it takes in addition for each worker of the call."""
     valid_s: float
 
 
 @dataclass(frozen=True)
 class Route:
-    """A queue of jobs, as callers address it."""
+    """A route: the host and path prefix to which callers submit jobs, and their settings."""
 
     name: RouteName
     host: str
@@ -31,27 +33,27 @@
     priority: int
     max_attempts: int
     stretch: float
-    """A job is in time within this many times its longest chain of work."""
+    """Max duration of an on-time job, as a multiple of the duration of its critical path."""
     latency_objective_s: float
     advice: Advice | None = None
     public: bool = True
-    """Callers need no key."""
+    """Whether callers need no key."""
 
 
 @dataclass(frozen=True)
 class PoolSettings:
-    """What the operators say of a pool."""
+    """A pool as the operators declare it."""
 
     id: PoolId
     guarded: bool
-    """Its workers refuse what does not fit."""
+    """Whether its workers refuse tasks that do not fit (admission check)."""
     spare: bool
-    """Its instances are switched off and cost nothing."""
+    """Whether its instances are switched off and cost nothing."""
 
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What callers may send."""
+    """Limits on what callers may send."""
 
     max_body_bytes: int = 262_144
     idle_timeout_s: float = 15.0
@@ -59,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of all that operators declare about routes and pools."""
+    """One version of the operators' declarations of routes, pools and client accounts."""
 
     version: int
     routes: dict[RouteName, Route]
@@ -70,14 +72,14 @@
     by_host: dict[str, list[Route]] = field(default_factory=dict, compare=False)
 
     def __post_init__(self) -> None:
-        """Order each host's routes so that the longest prefix comes first."""
+        """Index the routes by host, with the longest path prefix first."""
         for route in self.routes.values():
             self.by_host.setdefault(route.host, []).append(route)
         for routes in self.by_host.values():
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Find the route of a request by its host and the longest prefix of its path."""
+        """Return the route of a request by its host and the longest matching prefix of its path."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Wave:
-    """A request that instances go down for maintenance, so many at once."""
+    """An operators' request to take instances down for maintenance, at most so many in parallel."""
 
     number: int
     instances: tuple[InstanceId, ...]
--- a/pumicespur/model/_ids.py
+++ b/pumicespur/model/_ids.py
@@ -1,24 +1,24 @@
-"""The kinds of names and numbers that must not be mixed up."""
+"""Types of ids and numbers, distinct so that mypy reports any mix-up."""
 
 from __future__ import annotations
 
 from typing import NewType
 
 InstanceId = NewType("InstanceId", str)
-"""An instance; it stays the same over restarts of what runs on it."""
+"""Id of an instance; it does not change when what runs on the instance restarts."""
 
 WorkerName = NewType("WorkerName", str)
-"""A worker as the platform lists it; it may start again under the same name."""
+"""Name of a worker as the platform lists it; a worker keeps it when it restarts."""
 
 WorkerId = NewType("WorkerId", str)
-"""One life of a worker; a worker that starts again has another."""
+"""Id of one incarnation of a worker; a worker that restarts gets another."""
 
 PoolId = NewType("PoolId", str)
 JobId = NewType("JobId", str)
 RouteName = NewType("RouteName", str)
 TaskId = NewType("TaskId", str)
 TaskName = NewType("TaskName", str)
-"""A task of a submitted job, as workers know it."""
+"""Name of a task of a submitted job, as used in orders to workers."""
 
 TeamId = NewType("TeamId", str)
 WaveId = NewType("WaveId", str)
@@ -29,39 +29,40 @@
 Epoch = NewType("Epoch", int)
 
 SPARE_POOL = PoolId("spare")
-"""The pool of instances that no declared pool has."""
+"""The pool of instances that belong to no declared pool."""
 
 
-BIRTH_MARK = "@"
-"""Parts a worker's name from the birth that tells its lives apart."""
+INCARNATION_SEPARATOR = "@"
+"""Separates a worker's name from the start time of the incarnation."""
 
 
 def worker_id(name: WorkerName, born_ms: int | None) -> WorkerId:
-    """Name one life of a worker; `born_ms` is None where the platform tells no births.
+    """Return the id of one incarnation of a worker.
 
-    Everything kept of a worker is kept under this id, so that nothing of one life is ever held
-    for true of the next one.
+    `born_ms` is the start time of the incarnation in milliseconds since 1970, None where the
+    platform does not report it. All data about a worker is kept under this id, so that the data of
+    one incarnation is never applied to the next.
     """
-    return WorkerId(name if born_ms is None else f"{name}{BIRTH_MARK}{born_ms}")
+    return WorkerId(name if born_ms is None else f"{name}{INCARNATION_SEPARATOR}{born_ms}")
 
 
 def worker_name(worker: WorkerId) -> WorkerName:
-    """Return the name under which the platform lists a life of a worker."""
-    name, mark, birth = worker.rpartition(BIRTH_MARK)
-    return WorkerName(name if mark and birth.isdigit() else worker)
+    """Return the name under which the platform lists a worker, the same for every incarnation."""
+    name, separator, start = worker.rpartition(INCARNATION_SEPARATOR)
+    return WorkerName(name if separator and start.isdigit() else worker)
 
 
 def birth_ms(worker: WorkerId) -> int | None:
-    """Return when a life began, in milliseconds since 1970; None where that is not told."""
-    birth = worker.removeprefix(worker_name(worker)).removeprefix(BIRTH_MARK)
-    return int(birth) if birth else None
+    """Return the start time of an incarnation in ms since 1970; None where it is not reported."""
+    start = worker.removeprefix(worker_name(worker)).removeprefix(INCARNATION_SEPARATOR)
+    return int(start) if start else None
 
 
 def task_id(job: str, index: int) -> TaskId:
-    """Name one task of a declared job."""
+    """Return the id of one task of a declared job."""
     return TaskId(f"{job}/{index}")
 
 
 def task_name(job: JobId, repeat: int, step: int, index: int) -> TaskName:
-    """Name one task of a submitted job as workers know it."""
+    """Return the name of one task of a submitted job, as used in orders to workers."""
     return TaskName(f"{job}.{repeat}.{step}.{index}")
--- a/pumicespur/model/_orders.py
+++ b/pumicespur/model/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to workers, and what workers answer."""
+"""Orders to workers, and their responses."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 FENCED = "fence"
-"""Reason for which a worker refuses an order under an older token."""
+"""Reason of a worker that refuses an order with an outdated fencing token."""
 
 
 @dataclass(frozen=True)
 class OtherLife:
-    """The worker that was meant is gone; something else answers at its address."""
+    """The addressed worker is gone; something else responds at its address."""
 
 
 @dataclass(frozen=True)
 class StartedAgain:
-    """The worker answers in another life than was meant, which may have done the order."""
+    """Another incarnation than the addressed one responded; it may have executed the order."""
 
 
 @dataclass(frozen=True)
 class Refused:
-    """The worker did nothing, for the reason it names (or the status, if it names none)."""
+    """The worker refused the order; `reason` is its reason, or the HTTP status if it gives none."""
 
     reason: str
     clock_ms: float | None
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Account:
-    """What a worker says of itself, at `clock_ms` of its own clock."""
+    """Status of a worker: its running and ended runs, at `clock_ms` of its own clock."""
 
     clock_ms: float
     running: list[Running]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class StartOrder:
-    """One start of a task; the deadline is a time of the worker's clock in milliseconds."""
+    """Order to start a run of a task; the deadline is in milliseconds of the worker's clock."""
 
     task: TaskName
     run: int
@@ -52,4 +52,4 @@
     deadline_ms: int
     ticket: str = ""
     timeout_s: float = 0.5
-    """How long its answer is waited for."""
+    """Timeout of the call to the worker."""
--- a/pumicespur/model/_outcomes.py
+++ b/pumicespur/model/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of what callers asked for."""
+"""Outcomes of callers' requests."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 
 class Submission(Enum):
-    """What became of a submitted job."""
+    """Outcome of the submission of a job."""
 
     ACCEPTED = "accepted"
     NOT_TAKEN = "not taken"
-    """It is recorded nowhere and never will be."""
+    """It is not recorded, nor will it be later."""
     UNKNOWN = "unknown"
+    """Whether it is recorded is not known."""
     FOREIGN = "of another account"
-    """A job of another account has the id."""
+    """A job of another client account has this id."""
 
 
 class Cancellation(Enum):
-    """What became of a request to cancel."""
+    """Outcome of a request to cancel a job."""
 
     DONE = "done"
     NO_SUCH_JOB = "no such job"
--- a/pumicespur/model/_workers.py
+++ b/pumicespur/model/_workers.py
@@ -1,4 +1,4 @@
-"""Workers, what runs on them and how it ends, and the instances below them."""
+"""Workers, their running and ended runs, and the instances that workers run on."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class WorkerState(Enum):
-    """Whether a worker takes new tasks."""
+    """State of a worker; it accepts new tasks only while it is ready."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """What a worker has or a task asks for."""
+    """Resources that a worker has or a task needs."""
 
     cpu_millis: int
     memory_mb: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Worker:
-    """A worker as it describes itself in the store."""
+    """An incarnation of a worker, as it describes itself in the store."""
 
     id: WorkerId
     pool: PoolId
@@ -50,16 +50,16 @@
     rack: Rack
     instance: InstanceId
     leaves_in_s: float | None = None
-    """Time that is left at least while the worker drains."""
+    """Min time in seconds until a draining worker leaves; None if it does not report one."""
 
     @property
     def name(self) -> WorkerName:
-        """Return the name under which the platform lists the worker, in whatever life."""
+        """The name under which the platform lists the worker, the same for every incarnation."""
         return worker_name(self.id)
 
 
 class InstanceState(Enum):
-    """What an instance is doing."""
+    """State of an instance."""
 
     UP = "up"
     MOVING = "moving"
@@ -79,7 +79,7 @@
     labels: frozenset[str]
     capacity: Capacity
     worker: WorkerName | None
-    """The worker that runs there; the list does not tell in which of its lives."""
+    """The worker that runs on the instance; the list does not say in which incarnation."""
 
 
 class RunEnd(Enum):
@@ -89,6 +89,7 @@
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
+    """Its lease expired."""
     BROKEN = "broken"
     """Another member of its gang ended."""
     ALONE = "alone"
@@ -97,19 +98,19 @@
 
 @dataclass(frozen=True)
 class Running:
-    """A run that a worker carries."""
+    """A run that is active on a worker."""
 
     task: TaskName
     run: int
     checkpoint: str
     percent: int
     figure: float
-    """Latency in milliseconds for a task that serves, else processor time in use."""
+    """Measured latency in milliseconds for a serving task, CPU usage for any other."""
 
 
 @dataclass(frozen=True)
 class TaskEnd:
-    """A run that ended, as a worker lists it until told that the end is recorded."""
+    """The end of a run, which a worker lists until the owner acknowledges it as recorded."""
 
     number: int
     task: TaskName
