--- a/pumicespur/model/_orders.py
+++ b/pumicespur/model/_orders.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The worker refused the order; `reason` is its reason, or the HTTP status if it gives none."""
+    """The worker did nothing; `reason` says why, or is the HTTP status if the worker gives none."""
 
     reason: str
     clock_ms: float | None
--- a/pumicespur/peers/__init__.py
+++ b/pumicespur/peers/__init__.py
@@ -1,4 +1,4 @@
-"""The system's processes among themselves: membership, heartbeats and new revisions."""
+"""Communication between Pumicespur's processes: membership, heartbeats and new revisions."""
 
 from __future__ import annotations
 
--- a/pumicespur/peers/_links.py
+++ b/pumicespur/peers/_links.py
@@ -1,9 +1,9 @@
-"""Heartbeats between processes, which carry revisions, over pynng.
+"""Heartbeats between processes over pynng, which carry new revisions.
 
-One task for each linked peer sends heartbeats and passes records on to whichever of the
-two lacks them. A process links to a few peers, not to all (see `choose_links`). A new
-revision wakes all these tasks, so that it is passed on at once; the poll of the table
-service covers what is lost on the way.
+One task for each linked peer sends heartbeats and transfers records to the side that lacks them. A
+process links to a few peers, not to all (see `choose_links`). A new revision wakes all these tasks,
+so that it is forwarded at once. Lost messages do no harm, since each process also polls the table
+service.
 """
 
 from __future__ import annotations
@@ -38,16 +38,17 @@
 log = Logger(__name__)
 
 REPLY_TIMEOUT_MS = 1000
-SERVING_TASKS = 4
+SERVER_TASKS = 4
+"""Max number of requests of peers that are handled at the same time."""
 
-SEED_AFTER_S = 3.0
-"""Silence of the table service after which the peers of the settings are linked to."""
+SEED_PEERS_DELAY_S = 3.0
+"""Time without a response of the table service after which to link to the peers in the settings."""
 
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 
 
 def open_request_socket(address: str) -> pynng.Req0:
-    """Open a socket for requests to one peer; it connects when the peer is there."""
+    """Open a socket for requests to a peer; it connects as soon as the peer is reachable."""
     socket = pynng.Req0(
         recv_timeout=REPLY_TIMEOUT_MS,
         send_timeout=REPLY_TIMEOUT_MS,
@@ -58,7 +59,7 @@
 
 
 class PeerNetwork:
-    """The listener for peers and one link to each of them."""
+    """The listener for requests of peers, and the links to chosen peers."""
 
     def __init__(
         self,
@@ -73,24 +74,25 @@
         self.dump = dump
         self.stopping = False
         self.heard_at: dict[str, float] = {}
-        # Bytes of messages exchanged, without what TCP adds.
+        """When each process last sent a heartbeat, in monotonic seconds."""
         self.bytes = 0
+        """Total size of all messages sent and received, without the overhead of TCP."""
         self._listener = pynng.Rep0(recv_max_size=MAX_MESSAGE_BYTES)
         bound = self._listener.listen(f"tcp://{settings.peer_listen}")
         self.address = str(bound.local_address)
 
     async def run(self) -> None:
-        """Answer peers and keep a link to each until cancelled."""
+        """Handle peers' requests and maintain the links, until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
-                for _ in range(SERVING_TASKS):
+                for _ in range(SERVER_TASKS):
                     tasks.start_soon(self._serve)
                 tasks.start_soon(self._keep_links)
         finally:
             self._listener.close()
 
     async def ask(self, address: str, request: PeerRequest) -> PeerReply:
-        """Send one request to a peer; raise pynng.NNGException if it does not answer."""
+        """Send one request to a peer; raise pynng.NNGException if it does not respond."""
         with open_request_socket(address) as socket:
             return await self._exchange(socket, request)
 
@@ -98,98 +100,101 @@
         with self._listener.new_context() as context:
             while True:
                 content = await context.arecv()
-                answer = self._reply(content).to_binary()
-                self.bytes += len(content) + len(answer)
-                await context.asend(answer)
+                reply = self._handle_request(content).to_binary()
+                self.bytes += len(content) + len(reply)
+                await context.asend(reply)
 
-    def _reply(self, content: bytes) -> PeerReply:
+    def _handle_request(self, content: bytes) -> PeerReply:
         try:
             request = PeerRequest.from_binary(content)
-        except ValueError as failure:
-            return PeerReply(error=f"not a peer request: {failure}")
+        except ValueError as error:
+            return PeerReply(error=f"not a peer request: {error}")
         match request:
             case PeerRequest(heartbeat=Heartbeat() as heartbeat):
-                return PeerReply(heartbeat=self._hear(heartbeat))
+                return PeerReply(heartbeat=self._handle_heartbeat(heartbeat))
             case PeerRequest(fetch=FetchRequest(after=after)):
-                return PeerReply(fetch=self.replica.since(after))
+                return PeerReply(fetch=self.replica.changes_after(after))
             case PeerRequest(push=FetchReply() as pushed):
-                self.replica.take(pushed)
+                self.replica.apply_reply(pushed)
                 return PeerReply(push=PushReply(revision=self.replica.revision))
             case PeerRequest(dump=DumpRequest()):
                 return PeerReply(dump=DumpReply(json=self.dump()))
             case _:
                 return PeerReply(error="no such peer request")
 
-    def _hear(self, heartbeat: Heartbeat) -> HeartbeatReply:
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatReply:
         if heartbeat.sender is not None:
-            self.members.hear_of(heartbeat.sender)
+            self.members.note_heartbeat(heartbeat.sender)
             self.heard_at[heartbeat.sender.id] = monotonic()
         return HeartbeatReply(id=self.members.me.id, revision=self.replica.revision)
 
     async def _keep_links(self) -> None:
-        """Hold one task for each peer address, as peers come and go."""
+        """Run one task for each address to link to, as peers come and go."""
         links: dict[str, anyio.CancelScope] = {}
         async with anyio.create_task_group() as tasks:
             while True:
-                wanted = self._wanted()
+                wanted = self._wanted_addresses()
                 for address in wanted - links.keys():
                     links[address] = anyio.CancelScope()
-                    tasks.start_soon(self._link, address, links[address])
+                    tasks.start_soon(self._run_link, address, links[address])
                 for address in links.keys() - wanted:
                     links.pop(address).cancel()
                 await anyio.sleep(self.settings.heartbeat_s)
 
-    def _wanted(self) -> set[str]:
+    def _wanted_addresses(self) -> set[str]:
         """Return the addresses to link to.
 
-        These are a few members, and the peers of the settings while the table service is
-        silent, as the known members may then be out of date.
+        These are a few members. While the table service does not respond, the known members may be
+        out of date, so the peers in the settings are added.
         """
         members = self.members.members
         chosen = choose_links(self.members.me.id, members)
         addresses = {members[name].peer_address for name in chosen}
-        if self.members.platform.silent_s() > SEED_AFTER_S:
+        if self.members.platform.silent_s() > SEED_PEERS_DELAY_S:
             addresses |= set(self.settings.peers) - {self.address}
         return addresses
 
-    async def _link(self, address: str, scope: anyio.CancelScope) -> None:
+    async def _run_link(self, address: str, scope: anyio.CancelScope) -> None:
+        """Exchange heartbeats with a peer, and reconnect after errors, until cancelled."""
         with scope:
             while True:
                 try:
-                    await self._converse(address)
-                except pynng.NNGException as failure:
-                    log.debug("peer does not answer", peer=address, fault=str(failure))
+                    await self._send_heartbeats(address)
+                except pynng.NNGException as error:
+                    log.debug("peer does not respond", peer=address, fault=str(error))
                 await anyio.sleep(self.settings.heartbeat_s)
 
-    async def _converse(self, address: str) -> None:
+    async def _send_heartbeats(self, address: str) -> None:
+        """Send heartbeats over one connection, at intervals and at once on each change."""
         with open_request_socket(address) as socket:
             while True:
                 changed = self.replica.changed
-                await self._beat(socket)
+                await self._send_heartbeat(socket)
                 with anyio.move_on_after(self.settings.heartbeat_s):
                     await changed.wait()
 
-    async def _beat(self, socket: pynng.Req0) -> None:
+    async def _send_heartbeat(self, socket: pynng.Req0) -> None:
+        """Send a heartbeat, then fetch or push the records that one side lacks."""
         heartbeat = Heartbeat(
             sender=self.members.me, revision=self.replica.revision, stopping=self.stopping
         )
-        asked_at = monotonic()
+        requested_at = monotonic()
         reply = await self._exchange(socket, PeerRequest(heartbeat=heartbeat))
-        theirs = reply.heartbeat.revision if reply.heartbeat else self.replica.revision
-        if theirs > self.replica.revision:
+        peer_revision = reply.heartbeat.revision if reply.heartbeat else self.replica.revision
+        if peer_revision > self.replica.revision:
             fetch = FetchRequest(after=self.replica.revision)
-            answer = await self._exchange(socket, PeerRequest(fetch=fetch))
-            if answer.fetch is not None:
-                self.replica.take(answer.fetch)
-        elif theirs < self.replica.revision:
-            lacking = self.replica.since(theirs)
-            await self._exchange(socket, PeerRequest(push=lacking))
-        if reply.heartbeat is not None and self.replica.revision >= theirs:
-            self.replica.confirm(asked_at)
+            fetched = await self._exchange(socket, PeerRequest(fetch=fetch))
+            if fetched.fetch is not None:
+                self.replica.apply_reply(fetched.fetch)
+        elif peer_revision < self.replica.revision:
+            changes = self.replica.changes_after(peer_revision)
+            await self._exchange(socket, PeerRequest(push=changes))
+        if reply.heartbeat is not None and self.replica.revision >= peer_revision:
+            self.replica.confirm(requested_at)
 
     async def _exchange(self, socket: pynng.Req0, request: PeerRequest) -> PeerReply:
         content = request.to_binary()
         await socket.asend(content)
-        answer = await socket.arecv()
-        self.bytes += len(content) + len(answer)
-        return PeerReply.from_binary(answer)
+        reply = await socket.arecv()
+        self.bytes += len(content) + len(reply)
+        return PeerReply.from_binary(reply)
--- a/pumicespur/peers/_members.py
+++ b/pumicespur/peers/_members.py
@@ -1,7 +1,6 @@
-"""Which processes there are, from rows that each writes for itself.
+"""The list of processes, from the member row that each process writes for itself.
 
-Used for routing, for passing revisions on and for status only; nothing that must hold
-depends on it.
+It serves only routing, the forwarding of revisions and the status. No guarantee depends on it.
 """
 
 from __future__ import annotations
@@ -22,59 +21,65 @@
 log = Logger(__name__)
 
 MEMBER_PREFIX = "member/"
-REFRESH_S = 20.0
-SCAN_S = 5.0
-FORGET_S = 4 * REFRESH_S
+REFRESH_INTERVAL_S = 20.0
+"""Interval at which a process writes its member row."""
+
+SCAN_INTERVAL_S = 5.0
+"""Interval at which a process reads all member rows."""
+
+MEMBER_TIMEOUT_S = 4 * REFRESH_INTERVAL_S
+"""Time without a new version of its row after which a member is dropped."""
 
 
 class MemberList:
-    """The known processes by id, this one among them."""
+    """The known processes by id, including this one."""
 
     def __init__(self, platform: PlatformClient, me: Member) -> None:
         self.platform = platform
         self.me = me
         self.members: dict[str, Member] = {me.id: me}
         self._versions: dict[str, tuple[int, float]] = {}
+        """Version of each member's row, and when it was first seen; version 0 without a row."""
         self._written_at = float("-inf")
 
     def others(self) -> list[Member]:
         """Return all other processes."""
         return [member for member in self.members.values() if member.id != self.me.id]
 
-    def hear_of(self, member: Member) -> None:
-        """Note a process that sent a heartbeat."""
+    def note_heartbeat(self, member: Member) -> None:
+        """Add or update a member from its heartbeat."""
         self.members[member.id] = member
         self._versions.setdefault(member.id, (0, monotonic()))
 
     async def keep(self) -> None:
-        """Refresh this process's row and read the others'."""
+        """Refresh this process's row and read all rows, until cancelled."""
         while True:
             await self._refresh()
             await self._scan()
-            await anyio.sleep(SCAN_S)
+            await anyio.sleep(SCAN_INTERVAL_S)
 
     async def leave(self) -> None:
-        """Delete this process's row at a planned stop."""
+        """Delete this process's row, at a planned stop."""
         await self.platform.transact(Transaction([], [Write(MEMBER_PREFIX + self.me.id, None)]))
 
     async def _refresh(self) -> None:
-        if monotonic() - self._written_at < REFRESH_S:
+        if monotonic() - self._written_at < REFRESH_INTERVAL_S:
             return
         self.me.refreshed_ms = now_ms()
         row = Write(MEMBER_PREFIX + self.me.id, self.me.to_binary())
         match await self.platform.transact(Transaction([], [row])):
             case Result(tag="ok"):
                 self._written_at = monotonic()
-            case Result(error=fault):
-                log.warning("can't refresh the member row", fault=str(fault))
+            case Result(error=error):
+                log.warning("can't refresh the member row", fault=str(error))
 
     async def _scan(self) -> None:
-        answer = await self.platform.scan(MEMBER_PREFIX)
-        match answer:
+        response = await self.platform.scan(MEMBER_PREFIX)
+        match response:
             case Result(tag="ok", ok=rows):
                 pass
             case _:
-                # Without the table service the last known members are kept.
+                # While the table service fails, the last known members are kept.
                 return
         now = monotonic()
         for row in rows:
@@ -83,13 +88,13 @@
             if version != row.version:
                 self._versions[member.id] = (row.version, now)
                 self.members[member.id] = member
-        present = {row.key.removeprefix(MEMBER_PREFIX) for row in rows}
+        listed = {row.key.removeprefix(MEMBER_PREFIX) for row in rows}
         for name in [member.id for member in self.others()]:
             version, seen_at = self._versions.get(name, (0, now))
-            left = version > 0 and name not in present
-            if left or now - seen_at > FORGET_S:
-                self._forget(name)
+            left = version > 0 and name not in listed
+            if left or now - seen_at > MEMBER_TIMEOUT_S:
+                self._remove(name)
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self.members.pop(name, None)
         self._versions.pop(name, None)
--- a/pumicespur/peers/_topology.py
+++ b/pumicespur/peers/_topology.py
@@ -1,9 +1,10 @@
-"""Which peers a process links to.
+"""Choice of the peers that a process links to.
 
-All processes stand on a ring, ordered by a hash of their names. Each links to those 1, 2,
-4, 8 ... places on, as in Chord (Stoica et al., 2001): news reaches everyone in at most
-log2(n) steps, and a process has log2(n) links out and about as many in. Two processes
-that see different members choose different links, which does no harm: any link serves.
+All processes form a ring, ordered by a hash of their ids. Each links to those 1, 2, 4, 8 ...
+positions further on, as in Chord (Stoica et al., 2001): an update reaches every process in at most
+log2(n) steps, and a process has log2(n) outgoing links and about as many incoming ones. Two
+processes that know different members choose different links, which does no harm, since updates pass
+over any link.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 
 
 def choose_links(me: str, members: Collection[str]) -> list[str]:
-    """Return the members to link to, this process itself left out."""
-    ring = sorted({*members, me}, key=_place)
-    mine = ring.index(me)
+    """Return the members to link to, without this process itself."""
+    ring = sorted({*members, me}, key=_ring_key)
+    own_position = ring.index(me)
     links: list[str] = []
     step = 1
     while step < len(ring):
-        links.append(ring[(mine + step) % len(ring)])
+        links.append(ring[(own_position + step) % len(ring)])
         step *= 2
     return links
 
 
-def _place(name: str) -> bytes:
+def _ring_key(name: str) -> bytes:
     return hashlib.sha256(name.encode()).digest()
--- a/pumicespur/state/__init__.py
+++ b/pumicespur/state/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log of decisions, kept in the platform's table service."""
+"""The replicated log of decisions in the platform's table service, and the planner's lease."""
 
 from __future__ import annotations
 
--- a/pumicespur/state/_keys.py
+++ b/pumicespur/state/_keys.py
@@ -1,14 +1,14 @@
-"""The keys of the rows and objects that this project keeps in the platform."""
+"""Keys of the rows and objects that Pumicespur keeps in the platform's services."""
 
 from __future__ import annotations
 
 HEAD_KEY = "log/head"
 LEASE_KEY = "lease/planner"
-BEAT_KEY = "lease/planner/beat"
+RENEWAL_KEY = "lease/planner/beat"
 CLAIM_PREFIX = "claim/"
 SNAPSHOT_OBJECT = "snapshot"
 
 
 def record_key(revision: int) -> str:
-    """Return the key of one record; keys sort as revisions do."""
+    """Return the key of a record; keys sort in the order of revisions."""
     return f"log/{revision:015d}"
--- a/pumicespur/state/_lease.py
+++ b/pumicespur/state/_lease.py
@@ -1,9 +1,9 @@
-"""The planner's lease: a row with an epoch that every append of its holder checks.
+"""The planner's lease: a row with the holder and an epoch, which fences the holder's appends.
 
-A lease is renewed by writing a second row. Another process takes over when it has seen
-no renewal for the whole lease time on its own monotonic clock, so no clocks are compared.
-The takeover writes the lease row; from then on, appends of the former holder fail, also
-when it was paused and still believes that it holds the lease.
+The holder renews the lease by writing a second row. Another process takes the lease over when it
+has seen no renewal for the whole duration of the lease on its own monotonic clock, so clocks of
+different processes are never compared. The takeover writes the lease row. From then on every append
+of the former holder fails, even if that process was paused and still assumes that it is the holder.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.state._keys import BEAT_KEY, LEASE_KEY
+from pumicespur.state._keys import LEASE_KEY, RENEWAL_KEY
 from pumicespur.store import Condition, Row, Transaction, Write
 from pumicespur.structure import Epoch, ProcessId
 from pumicespur.utils import monotonic
@@ -27,17 +27,18 @@
 log = Logger(__name__)
 
 RENEWALS_PER_LEASE = 3
+"""Renewals, or checks of other processes, during the duration of one lease."""
 
 
 class LeaseState(Enum):
-    """Whether this process may plan."""
+    """Whether this process holds the lease or waits for it."""
 
     WAITING = "waiting"
     HELD = "held"
 
 
 class Lease:
-    """One process's view of the planner's lease."""
+    """The planner's lease as one process sees it; `lease_s` is its duration."""
 
     def __init__(self, platform: PlatformClient, holder: ProcessId, lease_s: float) -> None:
         self.platform = platform
@@ -47,89 +48,92 @@
         self.holder = ""
         self.epoch = Epoch(0)
         self._lease = Row(LEASE_KEY, b"", 0)
-        self._beat = Row(BEAT_KEY, b"", 0)
-        self._beat_seen_at = monotonic()
+        self._renewal = Row(RENEWAL_KEY, b"", 0)
+        self._renewal_seen_at = monotonic()
         self._renewed_at = float("-inf")
 
     @property
     def held(self) -> bool:
-        """Whether this process holds the lease, as far as it can know by itself."""
-        fresh = monotonic() - self._renewed_at < self.lease_s
-        return self.state is LeaseState.HELD and fresh
+        """Whether this process holds the lease, judged without asking the table service."""
+        unexpired = monotonic() - self._renewed_at < self.lease_s
+        return self.state is LeaseState.HELD and unexpired
 
     def fence(self) -> Condition:
-        """Return the condition that every append under this lease carries."""
+        """Return the condition that fences appends: the lease row has not changed."""
         return Condition(LEASE_KEY, self._lease.version)
 
     def lose(self) -> None:
-        """Note that an append found the lease taken over."""
+        """Note that another process has taken the lease over, as an append or renewal showed."""
         if self.state is LeaseState.HELD:
             log.warning("planner lease lost", epoch=self.epoch)
         self.state = LeaseState.WAITING
-        self._beat_seen_at = monotonic()
+        self._renewal_seen_at = monotonic()
 
     async def keep(self) -> None:
-        """Take the lease when it is free and renew it while it is held."""
+        """Acquire the lease when it is free and renew it while it is held; runs until cancelled."""
         while True:
             if self.state is LeaseState.HELD:
                 await self._renew()
             else:
-                await self._watch()
+                await self._check()
             await anyio.sleep(self.lease_s / RENEWALS_PER_LEASE)
 
     async def _renew(self) -> None:
-        started = monotonic()
-        transaction = Transaction([self.fence()], [Write(BEAT_KEY, self.me.encode())])
+        started_at = monotonic()
+        transaction = Transaction([self.fence()], [Write(RENEWAL_KEY, self.me.encode())])
         match await self.platform.transact(transaction):
             case Result(tag="ok"):
-                self._renewed_at = started
-            case Result(error=fault) if "keys" in vars(fault):
+                self._renewed_at = started_at
+            case Result(error=error) if "keys" in vars(error):
                 self.lose()
-            case Result(error=fault):
-                log.warning("can't renew the planner lease", epoch=self.epoch, fault=str(fault))
-
-    async def _watch(self) -> None:
-        answer = await self.platform.read([LEASE_KEY, BEAT_KEY])
-        match answer:
-            case Result(tag="ok", ok=[lease, beat]):
-                self._note(lease, beat)
+            case Result(error=error):
+                log.warning("can't renew the planner lease", epoch=self.epoch, fault=str(error))
+
+    async def _check(self) -> None:
+        response = await self.platform.read([LEASE_KEY, RENEWAL_KEY])
+        match response:
+            case Result(tag="ok", ok=[lease, renewal]):
+                self._note_rows(lease, renewal)
             case _:
-                # Without the table service nobody can be seen to renew; the wait starts anew.
-                self._beat_seen_at = monotonic()
+                # No renewal can be seen while the table service fails: restart the wait for expiry.
+                self._renewal_seen_at = monotonic()
                 return
-        if self.holder == self.me or self._expired() or not lease.version:
+        if self.holder == self.me or self._is_expired() or not lease.version:
             await self._take_over()
 
-    def _note(self, lease: Row, beat: Row) -> None:
-        if (lease.version, beat.version) != (self._lease.version, self._beat.version):
-            self._beat_seen_at = monotonic()
+    def _note_rows(self, lease: Row, renewal: Row) -> None:
+        if (lease.version, renewal.version) != (self._lease.version, self._renewal.version):
+            self._renewal_seen_at = monotonic()
         self._lease = lease
-        self._beat = beat
+        self._renewal = renewal
         content = json.loads(lease.value or b"{}")
         self.holder = content.get("holder", "")
         self.epoch = Epoch(content.get("epoch", 0))
 
-    def _expired(self) -> bool:
-        return monotonic() - self._beat_seen_at >= self.lease_s
+    def _is_expired(self) -> bool:
+        return monotonic() - self._renewal_seen_at >= self.lease_s
 
     async def _take_over(self) -> None:
-        started = monotonic()
+        started_at = monotonic()
         epoch = Epoch(self.epoch + 1)
         value = json.dumps({"holder": self.me, "epoch": epoch}).encode()
         transaction = Transaction(
-            [Condition(LEASE_KEY, self._lease.version), Condition(BEAT_KEY, self._beat.version)],
-            [Write(LEASE_KEY, value), Write(BEAT_KEY, self.me.encode())],
+            [
+                Condition(LEASE_KEY, self._lease.version),
+                Condition(RENEWAL_KEY, self._renewal.version),
+            ],
+            [Write(LEASE_KEY, value), Write(RENEWAL_KEY, self.me.encode())],
         )
         match await self.platform.transact(transaction):
-            case Result(tag="ok", ok=[version, beat]):
+            case Result(tag="ok", ok=[version, renewal_version]):
                 self._lease = Row(LEASE_KEY, value, version)
-                self._beat = Row(BEAT_KEY, b"", beat)
+                self._renewal = Row(RENEWAL_KEY, b"", renewal_version)
                 self.epoch = epoch
                 self.holder = self.me
                 self.state = LeaseState.HELD
-                self._renewed_at = started
-                log.info("planner lease taken", epoch=epoch)
-            case Result(error=fault):
-                # After a lost answer the next watch finds this process named as the holder
-                # and takes the lease again, at a higher epoch.
-                log.info("planner lease not taken", fault=str(fault))
+                self._renewed_at = started_at
+                log.info("planner lease acquired", epoch=epoch)
+            case Result(error=error):
+                # After a lost response the next check finds this process as the holder and acquires
+                # the lease again, at a higher epoch.
+                log.info("planner lease not acquired", fault=str(error))
--- a/pumicespur/state/_log.py
+++ b/pumicespur/state/_log.py
@@ -1,8 +1,8 @@
-"""Append to the log and read from it.
+"""The log of decisions in the table service.
 
-The head row holds the newest revision. An append writes the next record and the head in
-one transaction, on the condition that the head has not moved, so that revisions have no
-gaps and no two records share one.
+The head row holds the newest revision. An append writes the next record and the head row in one
+transaction, on the condition that the head row has not changed, so that revisions have no gaps and
+no two records have the same one.
 """
 
 from __future__ import annotations
@@ -32,52 +32,53 @@
 
     from pumicespur.connect import PlatformClient
 
-RESEND_TRIES = 3
+MAX_APPEND_ATTEMPTS = 3
+"""How often an append sends its transaction at most, if responses are lost."""
 
 
 @dataclass(frozen=True)
 class Uncertain:
-    """The append may have taken effect; the record's token tells once the log is read."""
+    """The append may have taken effect; the log shows it by a record with this token."""
 
     token: str
 
 
-AppendFault: TypeAlias = Conflict | Unavailable | Uncertain
+AppendError: TypeAlias = Conflict | Unavailable | Uncertain
 
 
 @dataclass(frozen=True)
 class Head:
-    """The newest revision and the version of the row that holds it."""
+    """The newest revision, and the version of the head row that holds it."""
 
     revision: int
     version: int
 
 
 class Log:
-    """The log as the table service holds it."""
+    """Access to the log in the table service, and to its snapshot in the object store."""
 
     def __init__(self, platform: PlatformClient) -> None:
         self.platform = platform
 
     async def head(self) -> Result[Head, Fault]:
-        """Read the newest revision; 0 for an empty log."""
-        answer = await self.platform.read([HEAD_KEY])
-        return answer.map(lambda rows: Head(int(rows[0].value or b"0"), rows[0].version))
+        """Read the head row; the revision is 0 for an empty log."""
+        response = await self.platform.read([HEAD_KEY])
+        return response.map(lambda rows: Head(int(rows[0].value or b"0"), rows[0].version))
 
     async def records(self, after: int, limit: int = 500) -> Result[list[Record], Fault]:
-        """Read the records above a revision, in order and without gaps."""
+        """Read at most `limit` records after a revision, in order and without gaps."""
         start = record_key(after)
-        answer = await self.platform.scan("log/0", after=start, limit=limit)
-        return answer.map(lambda rows: _contiguous(rows, after))
+        response = await self.platform.scan("log/0", after=start, limit=limit)
+        return response.map(lambda rows: _decode_contiguous(rows, after))
 
     async def append(
         self, record: Record, head: Head, fences: Sequence[Condition] = ()
-    ) -> Result[Head, AppendFault]:
-        """Append a record right after `head`, if the fences hold in the same transaction.
+    ) -> Result[Head, AppendError]:
+        """Append a record directly after `head`, if the fences hold in the same transaction.
 
-        The record gets its revision, token and time here. A lost answer is settled by
-        sending the same transaction again: it can take effect only once, and when it is
-        refused, the record in its place tells whose append won.
+        This sets the record's revision, token and time. After a lost response the same transaction
+        is sent again: it can take effect only once, and if it is refused, the token of the record
+        with this revision shows whose append succeeded.
         """
         record.revision = head.revision + 1
         record.token = record.token or uuid.uuid4().hex
@@ -90,22 +91,22 @@
             ],
         )
         maybe_sent = False
-        for _ in range(RESEND_TRIES):
+        for _ in range(MAX_APPEND_ATTEMPTS):
             match await self.platform.transact(transaction):
                 case Result(tag="ok", ok=versions):
                     return Ok(Head(record.revision, versions[0]))
                 case Result(error=Conflict() as conflict):
-                    return await self._settle(record, conflict) if maybe_sent else Error(conflict)
+                    return await self._resolve(record, conflict) if maybe_sent else Error(conflict)
                 case Result(error=AnswerLost()):
                     maybe_sent = True
-                case Result(error=Unavailable() as fault) if not maybe_sent:
-                    return Error(fault)
+                case Result(error=Unavailable() as error) if not maybe_sent:
+                    return Error(error)
         return Error(Uncertain(record.token))
 
-    async def _settle(self, record: Record, conflict: Conflict) -> Result[Head, AppendFault]:
-        """Find out whose record stands where ours should be."""
-        answer = await self.platform.read([record_key(record.revision), HEAD_KEY])
-        match answer:
+    async def _resolve(self, record: Record, conflict: Conflict) -> Result[Head, AppendError]:
+        """Find out by its token whether the record with this revision is ours."""
+        response = await self.platform.read([record_key(record.revision), HEAD_KEY])
+        match response:
             case Result(tag="ok", ok=[row, head]):
                 if row.version and Record.from_binary(row.value).token == record.token:
                     newest = int(head.value)
@@ -116,16 +117,17 @@
                 return Error(Uncertain(record.token))
 
     async def snapshot(self) -> Result[Snapshot | None, Fault]:
-        """Fetch the newest snapshot, None if there is none yet."""
-        answer = await self.platform.get_object(SNAPSHOT_OBJECT)
-        return answer.map(lambda content: Snapshot.from_binary(content) if content else None)
+        """Fetch the newest snapshot; None if there is none yet."""
+        response = await self.platform.get_object(SNAPSHOT_OBJECT)
+        return response.map(lambda content: Snapshot.from_binary(content) if content else None)
 
     async def save_snapshot(self, snapshot: Snapshot) -> Result[None, Fault]:
-        """Store a snapshot so that a new process need not read the whole log."""
+        """Store a snapshot, so that a new process need not read the whole log."""
         return await self.platform.put_object(SNAPSHOT_OBJECT, snapshot.to_binary())
 
 
-def _contiguous(rows: Sequence[Row], after: int) -> list[Record]:
+def _decode_contiguous(rows: Sequence[Row], after: int) -> list[Record]:
+    """Decode the records that follow a revision, up to the first gap."""
     records: list[Record] = []
     for row in rows:
         record = Record.from_binary(row.value)
--- a/pumicespur/state/_retention.py
+++ b/pumicespur/state/_retention.py
@@ -1,4 +1,4 @@
-"""Delete rows that nobody needs any more: old claims, and records under a snapshot."""
+"""Deletion of rows that are no longer needed: old claims, and records covered by a snapshot."""
 
 from __future__ import annotations
 
@@ -21,60 +21,60 @@
 log = Logger(__name__)
 
 PAGE_ROWS = 100
-PAGE_PAUSE_S = 1.0
+PAGE_INTERVAL_S = 1.0
 HOUR_MS = 3_600_000
-RECORDS_KEPT = 1000
-"""Records kept under the snapshot, so that a process a little behind needs no snapshot."""
+MIN_RETAINED_RECORDS = 1000
+"""Records kept before the snapshot, so that a process slightly behind needs no snapshot."""
 
 
 class Retention:
-    """Sweeps through old rows, a page a second, while this process holds the lease."""
+    """Deletes old rows while this process holds the planner's lease, one page per second."""
 
     def __init__(self, settings: ManagerSettings, platform: PlatformClient, lease: Lease) -> None:
         self.settings = settings
         self.platform = platform
         self.lease = lease
         self.deleted = 0
-        self._after = ""
-        self._first_record = 0
+        self._scan_after = ""
+        self._deleted_up_to = 0
 
     async def run(self) -> None:
-        """Sweep for ever."""
+        """Delete old claims page by page, until cancelled."""
         while True:
-            await anyio.sleep(PAGE_PAUSE_S)
+            await anyio.sleep(PAGE_INTERVAL_S)
             if self.lease.held:
-                await self.sweep_claims()
+                await self.delete_old_claims()
 
-    async def sweep_claims(self) -> None:
-        """Delete the old claims of one page."""
-        match await self.platform.scan(CLAIM_PREFIX, after=self._after, limit=PAGE_ROWS):
+    async def delete_old_claims(self) -> None:
+        """Delete the old claims of the next page."""
+        match await self.platform.scan(CLAIM_PREFIX, after=self._scan_after, limit=PAGE_ROWS):
             case Result(tag="ok", ok=rows):
                 pass
             case _:
                 return
-        self._after = rows[-1].key if len(rows) == PAGE_ROWS else ""
-        oldest = now_ms() - self.settings.claim_retention_h * HOUR_MS
-        await self._delete([row for row in rows if Claim.from_binary(row.value).at_ms < oldest])
+        self._scan_after = rows[-1].key if len(rows) == PAGE_ROWS else ""
+        oldest_ms = now_ms() - self.settings.claim_retention_h * HOUR_MS
+        await self._delete([row for row in rows if Claim.from_binary(row.value).at_ms < oldest_ms])
 
     async def sweep_records(self, snapshot_revision: int) -> None:
-        """Delete records that a stored snapshot covers, well under its revision."""
-        last = snapshot_revision - RECORDS_KEPT
-        if last <= self._first_record:
+        """Delete records covered by a stored snapshot, except the newest `MIN_RETAINED_RECORDS`."""
+        last = snapshot_revision - MIN_RETAINED_RECORDS
+        if last <= self._deleted_up_to:
             return
         match await self.platform.scan("log/0", limit=PAGE_ROWS):
             case Result(tag="ok", ok=rows):
                 await self._delete([row for row in rows if row.key <= record_key(last)])
-                self._first_record = last if len(rows) < PAGE_ROWS else 0
+                self._deleted_up_to = last if len(rows) < PAGE_ROWS else 0
 
     async def _delete(self, rows: list[Row]) -> None:
         if not rows:
             return
-        # The conditions keep a row that was written anew meanwhile.
+        # The conditions keep rows that have been rewritten in the meantime.
         conditions = [Condition(row.key, row.version) for row in rows]
         writes = [Write(row.key, None) for row in rows]
         fenced = Transaction([*conditions, self.lease.fence()], writes)
         match await self.platform.transact(fenced):
             case Result(tag="ok"):
                 self.deleted += len(rows)
-            case Result(error=fault):
-                log.info("old rows not deleted", fault=str(fault))
+            case Result(error=error):
+                log.info("old rows not deleted", fault=str(error))
--- a/pumicespur/utils/__init__.py
+++ b/pumicespur/utils/__init__.py
@@ -1,8 +1,8 @@
-"""Small helpers that several parts of the program share."""
+"""Helpers shared by several packages: clocks, logs, metrics, signals and rate limits."""
 
 from __future__ import annotations
 
-from pumicespur.utils._clock import SteadyEventLoop, monotonic, now_ms, run_process
+from pumicespur.utils._clock import BootTimeEventLoop, monotonic, now_ms, run_process
 from pumicespur.utils._event_log import set_up_event_log
 from pumicespur.utils._logs import set_up_logs
 from pumicespur.utils._messages import replace_fields
@@ -12,7 +12,7 @@
 
 __all__ = [
     "METRICS",
-    "SteadyEventLoop",
+    "BootTimeEventLoop",
     "TokenBucket",
     "announce",
     "monotonic",
--- a/pumicespur/utils/_clock.py
+++ b/pumicespur/utils/_clock.py
@@ -1,4 +1,4 @@
-"""The clocks that the program goes by: wall-clock time for rows, a steady one for durations."""
+"""Clocks: wall-clock time for rows, and a monotonic clock for durations and timeouts."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 def now_ms() -> int:
-    """Return milliseconds since 1970, for rows that people read."""
+    """Return the wall-clock time in milliseconds since 1970, for rows that people read."""
     return int(time.time() * 1000)
 
 
 def monotonic() -> float:
-    """Return the seconds of a steady clock that counts the time of a suspended machine too.
+    """Return the time in seconds of a monotonic clock that includes suspensions of the machine.
 
-    `time.monotonic` does not: after a suspension an owner would count its leases from before as
-    still valid, and give orders beside its successor.
+    `time.monotonic` does not include them: after a suspension an owner would treat its earlier
+    leases as still valid, and give orders while its successor does the same.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class SteadyEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time-outs count by the same clock as all other times."""
+class BootTimeEventLoop(asyncio.SelectorEventLoop):
+    """An event loop whose timeouts use `monotonic`, like all other durations."""
 
     def time(self) -> float:
         """Return the loop's time in seconds."""
@@ -35,5 +35,5 @@
 
 
 def run_process(function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
-    """Run a process until its function returns."""
-    anyio.run(function, *arguments, backend_options={"loop_factory": SteadyEventLoop})
+    """Run the main coroutine function of a process until it returns."""
+    anyio.run(function, *arguments, backend_options={"loop_factory": BootTimeEventLoop})
--- a/pumicespur/utils/_event_log.py
+++ b/pumicespur/utils/_event_log.py
@@ -1,7 +1,8 @@
-"""Log lines on standard output that never hold the process up.
+"""Log lines on standard output that never block the process.
 
-One JSON object a line. Each event has a budget of lines a second; what goes beyond it, and
-what standard output does not take, is counted and told in a line of its own.
+Each line is one JSON object. The number of lines per event and second is limited. Lines beyond this
+limit, and lines that can't be written to standard output in time, are dropped and counted in a
+summary line.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
     from logbook import LogRecord
 
 MAX_WAITING_LINES = 2000
-"""Lines kept while standard output takes none: some seconds' worth, about a megabyte."""
+"""Lines buffered while standard output is blocked: some seconds of logs, about a megabyte."""
 
-SUMMARY_S = 1.0
-"""Pause between two lines that count what was left out."""
+SUMMARY_INTERVAL_S = 1.0
+"""Min interval between two summary lines that count dropped lines."""
 
 
 class EventHandler(Handler):
-    """Writes records as JSON to a descriptor that is set not to block."""
+    """Writes records as JSON to a file descriptor, which it sets to non-blocking mode."""
 
     def __init__(self, process: str, level: str, lines_per_s: int, descriptor: int = 1) -> None:
         super().__init__(level=lookup_level(level))
@@ -33,35 +34,38 @@
         self.lines_per_s = lines_per_s
         self.descriptor = descriptor
         self.waiting: deque[bytes] = deque()
-        self.rest = b""
-        self.second = 0
+        self.partial = b""
+        """Rest of a line that has been written in part."""
+        self.current_second = 0
         self.written: Counter[str] = Counter()
-        self.left_out: Counter[str] = Counter()
-        self.told_at = 0.0
+        """Lines of the current second by event, including those beyond the limit."""
+        self.dropped: Counter[str] = Counter()
+        """Dropped lines since the last summary line, by event."""
+        self.summarized_at = 0.0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: LogRecord) -> None:
-        """Write a record now, keep it for later, or count it as left out."""
+        """Write a record now, buffer it, or count it as dropped."""
         now = time.time()
-        if int(now) != self.second:
-            self.second = int(now)
+        if int(now) != self.current_second:
+            self.current_second = int(now)
             self.written.clear()
         self.written[record.message] += 1
         if self.written[record.message] > self.lines_per_s:
-            self.left_out[record.message] += 1
+            self.dropped[record.message] += 1
         else:
-            self._queue(_line(self.process, record), record.message)
-        if self.left_out and now - self.told_at >= SUMMARY_S:
-            self._tell_left_out(now)
+            self._queue(_format_line(self.process, record), record.message)
+        if self.dropped and now - self.summarized_at >= SUMMARY_INTERVAL_S:
+            self._queue_summary(now)
         self._flush()
 
     def _queue(self, line: bytes, event: str) -> None:
         if len(self.waiting) >= MAX_WAITING_LINES:
-            self.left_out[event] += 1
+            self.dropped[event] += 1
         else:
             self.waiting.append(line)
 
-    def _tell_left_out(self, now: float) -> None:
+    def _queue_summary(self, now: float) -> None:
         if len(self.waiting) >= MAX_WAITING_LINES:
             return
         fields = {
@@ -69,29 +73,29 @@
             "level": "WARNING",
             "process": self.process,
             "event": "log lines left out",
-            "counts": dict(self.left_out),
+            "counts": dict(self.dropped),
         }
         self.waiting.append(json.dumps(fields).encode() + b"\n")
-        self.left_out.clear()
-        self.told_at = now
+        self.dropped.clear()
+        self.summarized_at = now
 
     def _flush(self) -> None:
-        while self.rest or self.waiting:
-            chunk = self.rest or self.waiting.popleft()
+        while self.partial or self.waiting:
+            chunk = self.partial or self.waiting.popleft()
             try:
                 count = os.write(self.descriptor, chunk)
             except BlockingIOError:
-                self.rest = chunk
+                self.partial = chunk
                 return
             except OSError:
-                # Nobody reads standard output any more; there is no place left to say so.
-                self.rest = b""
+                # The reader of standard output is gone, so there is nowhere to report this.
+                self.partial = b""
                 self.waiting.clear()
                 return
-            self.rest = chunk[count:]
+            self.partial = chunk[count:]
 
 
-def _line(process: str, record: LogRecord) -> bytes:
+def _format_line(process: str, record: LogRecord) -> bytes:
     fields: dict[str, Any] = {
         "time": round(record.time.timestamp(), 3),
         "level": record.level_name,
@@ -105,7 +109,7 @@
 
 
 def set_up_event_log(process: str, level: str, lines_per_s: int) -> EventHandler:
-    """Send all log lines to standard output from now on."""
+    """Write all log lines to standard output from now on."""
     handler = EventHandler(process, level, lines_per_s)
     handler.push_application()
     return handler
--- a/pumicespur/utils/_logs.py
+++ b/pumicespur/utils/_logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines: one JSON object a line on the error output."""
+"""Structured log lines on standard error, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.process = process
 
     def format(self, record: LogRecord) -> str:
-        """Write one record as a line."""
+        """Return one record as a line."""
         fields: dict[str, Any] = {
             "time": record.time.isoformat(),
             "level": record.level_name,
@@ -35,7 +35,7 @@
 
 
 def set_up_logs(process: str, level: str) -> Handler:
-    """Send all log lines to the error output from now on."""
+    """Write all log lines to standard error from now on."""
     handler = JsonHandler(process, level)
     handler.push_application()
     sys.stderr.reconfigure(line_buffering=True)  # type: ignore[union-attr]
--- a/pumicespur/utils/_messages.py
+++ b/pumicespur/utils/_messages.py
@@ -1,4 +1,4 @@
-"""Copies of schema messages, which are mutable and shared."""
+"""Copies of schema messages, since messages are mutable and shared."""
 
 from __future__ import annotations
 
--- a/pumicespur/utils/_metrics.py
+++ b/pumicespur/utils/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a process, for the metrics address."""
+"""Counters, gauges and histograms of a process, served at its metrics address."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from aioprometheus.renderer import render
 
 BUCKETS_S = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0]
-"""Bounds of latency histograms in seconds: from one answer of the store to a caller's deadline."""
+"""Bucket bounds of latency histograms, from one store response to a caller's deadline."""
 
 
 class Metrics:
-    """All series of a process; label values come from small fixed sets and pool names."""
+    """All metrics of a process; label values are pool or account names or from small fixed sets."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -83,15 +83,15 @@
             self.registry.register(series)
 
     def forget_accounts(self) -> None:
-        """Drop the series of all accounts, so that those that are set anew are all there are."""
+        """Drop the series of all accounts, so that only accounts that are set again remain."""
         for series in (self.account_cpu, self.account_part):
             series.values.store.clear()
 
     def page(self) -> tuple[bytes, dict[str, str]]:
-        """Return the text page and its headers."""
+        """Return the metrics page as text, and its HTTP headers."""
         content, headers = render(self.registry, ["text/plain"])
         return content, headers
 
 
 METRICS = Metrics()
-"""The series of this process."""
+"""The metrics of this process."""
--- a/pumicespur/utils/_processes.py
+++ b/pumicespur/utils/_processes.py
@@ -1,4 +1,4 @@
-"""What every process does at its start and at its end."""
+"""Start and stop of a process: the announcement of its addresses, and signals."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def announce(**addresses: str) -> None:
-    """Print one JSON line that names the process and where it listens."""
+    """Print one JSON line with the process's id, role and addresses."""
     print(json.dumps(addresses), flush=True)
 
 
@@ -29,8 +29,8 @@
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Set `stop` on SIGTERM or SIGINT; log a state dump on SIGUSR1."""
-    kinds = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
-    with anyio.open_signal_receiver(*kinds) as signals:
+    handled = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
+    with anyio.open_signal_receiver(*handled) as signals:
         task_status.started()
         async for number in signals:
             if number == signal.SIGUSR1:
--- a/pumicespur/utils/_rate.py
+++ b/pumicespur/utils/_rate.py
@@ -1,4 +1,4 @@
-"""A token bucket."""
+"""Rate limit by a token bucket."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 @dataclass
 class TokenBucket:
-    """Allow `rate` takes a second, and up to `burst` at once after a quiet time."""
+    """Token bucket that allows `rate` tokens per second, and `burst` at once after an idle time."""
 
     rate: float
     burst: float
     tokens: float = field(init=False)
-    updated: float = field(default_factory=monotonic)
+    updated_at: float = field(default_factory=monotonic)
 
     def __post_init__(self) -> None:
         self.tokens = self.burst
 
     def wait_s(self) -> float:
-        """Return the seconds until a token is there; 0 when one is there now."""
+        """Return the seconds until a token is available; 0 if one is available now."""
         self._refill()
         return max(0.0, (1 - self.tokens) / self.rate)
 
     def try_take(self) -> bool:
-        """Take a token if one is there."""
+        """Take a token if one is available; return whether it was."""
         self._refill()
         if self.tokens < 1:
             return False
@@ -34,5 +34,5 @@
 
     def _refill(self) -> None:
         now = monotonic()
-        self.tokens = min(self.burst, self.tokens + (now - self.updated) * self.rate)
-        self.updated = now
+        self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate)
+        self.updated_at = now
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -6,13 +6,13 @@
 
 from hypothesis import HealthCheck, settings
 
-from pumicespur.utils import SteadyEventLoop
+from pumicespur.utils import BootTimeEventLoop
 
 
 class SteadyPolicy(asyncio.DefaultEventLoopPolicy):
     """Gives the tests the program's event loop, whose clock is the program's own."""
 
-    _loop_factory = SteadyEventLoop
+    _loop_factory = BootTimeEventLoop
 
 
 asyncio.set_event_loop_policy(SteadyPolicy())
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,7 +1,7 @@
-"""Tests of the clock by which leases and time-outs are counted.
+"""Tests of the clock that leases and timeouts use.
 
-What users would see: a machine is suspended for some seconds; when it goes on, its process orders
-tasks for a pool that another one has taken meanwhile, since by its own clock no time has passed.
+The failure: a machine is suspended for some seconds. After it resumes, its process orders tasks for
+a pool that another process has taken over in the meantime, since no time has passed by its clock.
 """
 
 from __future__ import annotations
@@ -27,21 +27,23 @@
 import anyio
 from pumicespur.utils import monotonic, run_process
 
-async def tell():
+async def report_elapsed():
     before = time.monotonic(), monotonic(), anyio.current_time()
     print("ready", flush=True)
     sys.stdin.readline()
     after = time.monotonic(), monotonic(), anyio.current_time()
-    print(*(late - early for early, late in zip(before, after)), flush=True)
+    print(*(end - start for start, end in zip(before, after)), flush=True)
 
-run_process(tell)
+run_process(report_elapsed)
 """
 
 
 class SuspensionTest(unittest.IsolatedAsyncioTestCase):
-    """What a suspension does to each clock."""
+    """Effect of a suspension on each clock."""
 
-    async def test_leases_and_time_outs_count_it_although_the_steady_clock_does_not(self) -> None:
+    async def test_durations_and_timeouts_include_it_although_the_system_monotonic_clock_does_not(
+        self,
+    ) -> None:
         with tempfile.TemporaryDirectory() as folder:
             mark = Path(folder) / "mark"
             child = await asyncio.create_subprocess_exec(
@@ -62,21 +64,21 @@
             while mark.exists():
                 await asyncio.sleep(0.01)
             child.stdin.write(b"\n")
-            told = (await child.stdout.readline()).split()
+            output = (await child.stdout.readline()).split()
             await child.wait()
-        steady, ours, loop = map(float, told)
-        self.assertGreater(ours, SUSPENDED_S)
-        self.assertGreater(loop, SUSPENDED_S)
-        self.assertLess(steady, ours - 0.9 * SUSPENDED_S)
+        system_s, process_s, loop_s = map(float, output)
+        self.assertGreater(process_s, SUSPENDED_S)
+        self.assertGreater(loop_s, SUSPENDED_S)
+        self.assertLess(system_s, process_s - 0.9 * SUSPENDED_S)
 
 
 class SuspendedOwnerTest(NodeCase):
-    """The owner of a pool is suspended until another process has taken it."""
+    """The owner of a pool is suspended until another process has taken the pool over."""
 
     nodes = 3
     module = SUSPENDABLE_MODULE
 
-    async def test_it_wakes_beside_its_successor(self) -> None:
+    async def test_no_runs_of_a_task_overlap_after_it_resumes(self) -> None:
         await self.world.wait_for(lambda: bool(self.world.owner()), "the pool has an owner")
         owner = next(node for node in self.started if node.name == self.world.owner())
         other = next(node for node in self.started if node is not owner)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Tests of log lines that never hold a process up, and of reading them."""
+"""Tests of the non-blocking event log, of `explain`, and of timeouts by response times."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EventHandlerTest(unittest.TestCase):
-    """Lines, budgets, and a reader that stalls."""
+    """Format of lines, the limit per event, and a stalled reader."""
 
     def setUp(self) -> None:
         self.reader, self.writer = os.pipe()
@@ -37,9 +37,9 @@
             tuple(line[key] for key in ("process", "event", "job", "version")),
         )
 
-    def test_budget_is_for_each_event_and_the_rest_is_counted(self) -> None:
+    def test_limit_is_per_event_and_dropped_lines_are_counted(self) -> None:
         handler = EventHandler("p", "INFO", 5, self.writer)
-        handler.second = 2**40
+        handler.current_second = 2**40
         with handler.applicationbound():
             for _ in range(50):
                 self.log.info("often")
@@ -47,26 +47,26 @@
         lines = self.read()
         events = [line["event"] for line in lines]
         self.assertIn("seldom", events)
-        told = sum(
+        counted = sum(
             line["counts"].get("often", 0)  # type: ignore[attr-defined]
             for line in lines
             if line["event"] == "log lines left out"
         )
-        self.assertEqual(50, events.count("often") + told + handler.left_out["often"])
+        self.assertEqual(50, events.count("often") + counted + handler.dropped["often"])
 
-    def test_stalled_reader_costs_lines_and_no_time(self) -> None:
+    def test_stalled_reader_drops_lines_and_never_blocks(self) -> None:
         handler = EventHandler("p", "INFO", 10**9, self.writer)
         with handler.applicationbound():
             for number in range(MAX_WAITING_LINES + 20_000):
                 self.log.info("line", number=number)
         self.assertLessEqual(len(handler.waiting), MAX_WAITING_LINES + 1)
-        self.assertGreater(handler.left_out["line"], 0)
+        self.assertGreater(handler.dropped["line"], 0)
 
 
 class ExplainTest(unittest.TestCase):
-    """Lines of several processes about one id."""
+    """Log lines of several processes that concern one id."""
 
-    def test_lines_about_a_job_and_its_pool_in_order(self) -> None:
+    def test_lines_of_a_job_and_its_pool_are_in_order(self) -> None:
         rows = [
             {"time": 3.0, "event": "task ended", "task": "j.0.0.1", "pool": "a"},
             {"time": 1.0, "event": "job accepted", "job": "j", "pool": "a"},
@@ -83,22 +83,22 @@
 
 
 class AnswerTimesTest(unittest.TestCase):
-    """Time-outs that follow the store's speed."""
+    """Timeouts that adapt to the store's response times."""
 
-    def test_silence_doubles_the_time_and_an_answer_ends_that(self) -> None:
+    def test_a_missing_response_doubles_the_timeout_and_a_response_resets_it(self) -> None:
         times = AnswerTimes(0.4, 3.0)
         times.note_silence(0.0, 0.4)
         self.assertAlmostEqual(0.8, times.timeout_s())
         times.note_answer(1.0, 0.3)
         self.assertAlmostEqual(0.4 + 4 * 0.06, times.timeout_s())
 
-    def test_time_is_bounded(self) -> None:
+    def test_timeout_is_bounded(self) -> None:
         times = AnswerTimes(0.4, 3.0)
         for second in range(20):
             times.note_silence(second, 3.0)
         self.assertEqual(3.0, times.timeout_s())
 
-    def test_slow_answers_are_remembered_for_a_while(self) -> None:
+    def test_slow_responses_are_remembered_for_a_while(self) -> None:
         times = AnswerTimes(0.4, 3.0)
         times.note_answer(0.0, 0.9)
         self.assertEqual(0.9, times.worst_s(2.0))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of which peers a process links to."""
+"""Tests of the links between peers and of their heartbeats."""
 
 from __future__ import annotations
 
@@ -18,56 +18,61 @@
 NAMES = st.sets(st.text("abcdef0123456789", min_size=1, max_size=6), min_size=1, max_size=40)
 
 
-def steps_to_all(names: set[str], start: str, dead: set[str]) -> int | None:
-    """Count the steps in which news from `start` reaches all living; None if it doesn't.
+def steps_to_reach_all(names: set[str], start: str, dead: set[str]) -> int | None:
+    """Count the steps in which an update from `start` reaches all live members; None if it doesn't.
 
-    A link passes news both ways, as a heartbeat and its reply do.
+    A link transfers updates in both directions, as a heartbeat and its reply do.
     """
     links = {name: set(choose_links(name, names)) for name in names}
     reached = {start}
     for step in range(len(names) + 1):
         if reached >= names - dead:
             return step
-        outward = {peer for name in reached for peer in links[name]}
-        inward = {name for name in names if links[name] & reached}
-        grown = reached | ((outward | inward) - dead)
-        if grown == reached:
+        outgoing = {peer for name in reached for peer in links[name]}
+        incoming = {name for name in names if links[name] & reached}
+        extended = reached | ((outgoing | incoming) - dead)
+        if extended == reached:
             return None
-        reached = grown
+        reached = extended
     return None
 
 
 class TestLinks(unittest.TestCase):
-    """A few links are enough for news to reach everyone soon."""
+    """A few links per process are enough to distribute updates quickly."""
 
     @given(NAMES, st.data())
-    def test_news_reaches_everyone_in_few_steps(self, names: set[str], data: st.DataObject) -> None:
+    def test_an_update_reaches_every_process_in_few_steps(
+        self, names: set[str], data: st.DataObject
+    ) -> None:
         start = data.draw(st.sampled_from(sorted(names)))
-        steps = steps_to_all(names, start, set())
+        steps = steps_to_reach_all(names, start, set())
         assert steps is not None
         self.assertLessEqual(steps, math.ceil(math.log2(len(names))) if len(names) > 1 else 0)
         self.assertLessEqual(len(choose_links(start, names)), math.ceil(math.log2(len(names) + 1)))
 
     @given(NAMES, st.data())
-    def test_one_dead_process_stops_no_news(self, names: set[str], data: st.DataObject) -> None:
+    def test_one_dead_process_stops_no_update(self, names: set[str], data: st.DataObject) -> None:
         dead = data.draw(st.sampled_from(sorted(names)))
-        living = sorted(names - {dead})
-        if living:
-            self.assertIsNotNone(steps_to_all(names, living[0], {dead}))
+        live = sorted(names - {dead})
+        if live:
+            self.assertIsNotNone(steps_to_reach_all(names, live[0], {dead}))
 
-    def test_nobody_links_to_itself(self) -> None:
+    def test_no_process_links_to_itself(self) -> None:
         self.assertEqual(choose_links("a", {"a"}), [])
         self.assertEqual(choose_links("a", set()), [])
         self.assertNotIn("a", choose_links("a", {"a", "b", "c"}))
 
 
-class BeatTest(unittest.IsolatedAsyncioTestCase):
-    """What an answered heartbeat says of how new the own table is."""
+class HeartbeatTest(unittest.IsolatedAsyncioTestCase):
+    """What the reply to a heartbeat confirms about the process's own state."""
 
-    async def test_it_tells_of_the_time_when_it_was_asked(self) -> None:
-        # A process was paused with an answer in its socket, woke up, took the answer as word of
-        # this moment and sent four requests by a table from before a move.
-        told: list[float] = []
+    async def test_a_reply_confirms_the_state_at_the_time_of_the_request(self) -> None:
+        """A process was paused with a reply in its socket.
+
+        After it resumed, it took the reply as current, and sent four requests by a routing table
+        from before a move.
+        """
+        confirmed: list[float] = []
 
         async def exchange(socket: object, request: object) -> PeerReply:
             await anyio.sleep(0.05)
@@ -75,10 +80,10 @@
 
         network = SimpleNamespace(
             members=SimpleNamespace(me=None),
-            replica=SimpleNamespace(revision=1, confirm=told.append),
+            replica=SimpleNamespace(revision=1, confirm=confirmed.append),
             stopping=False,
             _exchange=exchange,
         )
         before = monotonic()
-        await PeerNetwork._beat(cast("Any", network), cast("Any", None))
-        self.assertLess(told[0] - before, 0.05)
+        await PeerNetwork._send_heartbeat(cast("Any", network), cast("Any", None))
+        self.assertLess(confirmed[0] - before, 0.05)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of the log, the lease and claims against the platform stand-in, under its faults."""
+"""Tests of the log, the lease, claims and retention against the platform stand-in with faults."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 LEASE_S = 0.3
 
-PATIENT_S = 20.0
-"""Time of a call where nothing is to go wrong: a busy machine took over 0.5 s for one."""
+CALL_TIMEOUT_S = 20.0
+"""Timeout of calls that should succeed; on a busy machine one took over 0.5 s."""
 
 FAULT_TIMEOUT_S = 0.5
-"""Time of a call that is to be waited for in vain."""
+"""Timeout of calls to which a fault prevents the response."""
 
 
 class PlatformCase(unittest.IsolatedAsyncioTestCase):
-    """Tests with a platform stand-in and clients in this process."""
+    """Base class: a platform stand-in, with clients in this process."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -40,11 +40,13 @@
         self.child = launcher.start_platform()
         self.orders = PlatformOrders(self.child)
 
-    call_s = PATIENT_S
-    """Time that a client made from now on gives a call."""
+    call_timeout_s = CALL_TIMEOUT_S
+    """Call timeout of clients that are created from now on."""
 
     def client(self) -> PlatformClient:
-        settings = PlatformSettings(url=self.child.url, timeout_s=self.call_s, writes_per_s=100)
+        settings = PlatformSettings(
+            url=self.child.url, timeout_s=self.call_timeout_s, writes_per_s=100
+        )
         return PlatformClient(settings)
 
     def replica(self) -> Replica:
@@ -54,23 +56,23 @@
         return [record.token for record in await self.orders.records()]
 
 
-def by(author: str) -> Record:
+def empty_record(author: str) -> Record:
     """Make a record that changes nothing but the revision."""
     return Record(author=author)
 
 
 class TestAppend(PlatformCase):
-    """Appends happen once, or are known not to have happened."""
+    """An append takes effect exactly once, or its failure or uncertainty is reported."""
 
-    async def test_concurrent_appends_leave_no_gap_and_lose_none(self) -> None:
+    async def test_concurrent_appends_leave_no_gap_and_lose_no_record(self) -> None:
         replicas = [self.replica() for _ in range(4)]
         failed: list[object] = []
 
         async def append(replica: Replica, author: str) -> None:
             for _ in range(8):
-                answer = await replica.append(lambda _: by(author))
-                if answer.is_error():
-                    failed.append(answer.error)
+                result = await replica.append(lambda _: empty_record(author))
+                if result.is_error():
+                    failed.append(result.error)
 
         async with anyio.create_task_group() as tasks:
             for number, replica in enumerate(replicas):
@@ -82,106 +84,108 @@
             await replica.catch_up()
             self.assertEqual(replica.revision, len(records))
 
-    async def test_a_lost_answer_is_settled_by_the_token(self) -> None:
-        self.call_s = FAULT_TIMEOUT_S
+    async def test_a_lost_response_is_resolved_by_the_token(self) -> None:
+        self.call_timeout_s = FAULT_TIMEOUT_S
         replica = self.replica()
         for lost in (1, 2):
             await replica.catch_up()
             await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=lost)
-            answer = await replica.append(lambda _: by("ann"))
-            self.assertTrue(answer.is_ok(), answer)
+            result = await replica.append(lambda _: empty_record("ann"))
+            self.assertTrue(result.is_ok(), result)
         self.assertEqual(len(await self.tokens()), 2)
 
-    async def test_when_every_answer_is_lost_it_is_said_to_be_uncertain(self) -> None:
+    async def test_an_append_is_uncertain_if_every_response_is_lost(self) -> None:
         head = (await self.replica().store.head()).ok
-        self.call_s = FAULT_TIMEOUT_S
+        self.call_timeout_s = FAULT_TIMEOUT_S
         await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=1000)
-        answer = await self.replica().store.append(by("ann"), head)
-        match answer:
+        result = await self.replica().store.append(empty_record("ann"), head)
+        match result:
             case Result(error=Uncertain(token=token)):
                 self.assertEqual(await self.tokens(), [token])
             case _:
-                self.fail(str(answer))
+                self.fail(str(result))
 
-    async def test_a_hanging_store_is_uncertain_and_a_refused_connection_is_not(self) -> None:
+    async def test_an_append_to_a_hanging_store_is_uncertain_and_a_refused_connection_is_not(
+        self,
+    ) -> None:
         head = (await self.replica().store.head()).ok
-        self.call_s = FAULT_TIMEOUT_S
+        self.call_timeout_s = FAULT_TIMEOUT_S
         replica = self.replica()
         await self.orders.fail(PlatformFault.HANG)
-        hung = await replica.store.append(by("ann"), head)
+        hung = await replica.store.append(empty_record("ann"), head)
         self.assertIsInstance(hung.error, Uncertain)
         await self.orders.heal()
         self.child.kill()
-        refused = await replica.store.append(by("ann"), head)
+        refused = await replica.store.append(empty_record("ann"), head)
         self.assertIsInstance(refused.error, Unavailable)
 
-    async def test_build_sees_the_state_that_its_record_follows(self) -> None:
+    async def test_build_gets_the_state_that_its_record_follows(self) -> None:
         first, second = self.replica(), self.replica()
         seen: list[int] = []
 
         def build(fleet: Fleet) -> Record:
             seen.append(fleet.revision)
-            return by("ann")
+            return empty_record("ann")
 
         await first.catch_up()
-        await second.append(lambda _: by("bob"))
-        answer = await first.append(build)
-        self.assertEqual(answer.ok, 2)
+        await second.append(lambda _: empty_record("bob"))
+        result = await first.append(build)
+        self.assertEqual(result.ok, 2)
         self.assertEqual(seen[-1], 1)
 
 
 class AlwaysDecision(Decision):
-    """A decision that always wants to change something."""
+    """A decision that always results in a record."""
 
     def record(self) -> Record:
         return Record()
 
 
 class TestLease(PlatformCase):
-    """One holder at a time, and a former one can append nothing."""
+    """At most one process holds the lease, and appends of a former holder fail."""
 
     def lease(self, name: str) -> Lease:
         return Lease(self.client(), ProcessId(name), LEASE_S)
 
-    async def take(self, lease: Lease) -> None:
-        """Watch until the lease is taken."""
+    async def acquire(self, lease: Lease) -> None:
+        """Check until the lease is acquired."""
 
-        async def held() -> bool:
-            await lease._watch()
+        async def is_held() -> bool:
+            await lease._check()
             return lease.held
 
-        await wait_until(held, "the lease")
+        await wait_until(is_held, "the lease")
 
-    async def test_it_is_not_taken_while_it_is_renewed(self) -> None:
+    async def test_a_renewed_lease_is_not_taken_over(self) -> None:
         first, second = self.lease("a"), self.lease("b")
-        await self.take(first)
+        await self.acquire(first)
         for _ in range(8):
             await first._renew()
-            await second._watch()
+            await second._check()
             self.assertFalse(second.held)
             await anyio.sleep(LEASE_S / 4)
 
     async def test_a_former_holder_cannot_append(self) -> None:
         first, second = self.lease("a"), self.lease("b")
         replica = self.replica()
-        await self.take(first)
-        await self.take(second)
-        answer = await replica.append(lambda _: by("a"), [first.fence()])
-        self.assertIsInstance(answer.error, Conflict)
-        answer = await replica.append(lambda _: by("b"), [second.fence()])
-        self.assertTrue(answer.is_ok())
+        await self.acquire(first)
+        await self.acquire(second)
+        result = await replica.append(lambda _: empty_record("a"), [first.fence()])
+        self.assertIsInstance(result.error, Conflict)
+        result = await replica.append(lambda _: empty_record("b"), [second.fence()])
+        self.assertTrue(result.is_ok())
         self.assertGreater(second.epoch, first.epoch)
 
-    async def test_a_former_planner_that_missed_the_takeover_decides_nothing(self) -> None:
+    async def test_a_former_planner_that_missed_the_takeover_commits_nothing(self) -> None:
         first, second = self.lease("a"), self.lease("b")
         settings = ManagerSettings(lease_s=LEASE_S, tick_s=0.01, moves_per_round=4, missing_s=0)
         platform, replica = self.client(), self.replica()
         retention = Retention(settings, platform, first)
         planner = Planner(settings, platform, replica, first, retention)
-        await self.take(first)
+        await self.acquire(first)
         await replica.append(lambda _: Record(put=Declaration(pools=[Pool(id="p", size=1)])))
-        await self.take(second)
-        first._renewed_at = float("inf")  # as if its clock had stood still
+        await self.acquire(second)
+        first._renewed_at = float("inf")  # as if its clock had stopped
         planner.decide = lambda fleet: AlwaysDecision()  # type: ignore[method-assign]
         await planner.observe()
         await planner._round()
@@ -189,18 +193,18 @@
         self.assertNotIn("a", authors)
         self.assertFalse(first.held)
 
-    async def test_a_takeover_whose_answer_was_lost_is_taken_again(self) -> None:
-        self.call_s = FAULT_TIMEOUT_S
+    async def test_a_takeover_whose_response_was_lost_is_repeated(self) -> None:
+        self.call_timeout_s = FAULT_TIMEOUT_S
         lease = self.lease("a")
         await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=1)
-        await lease._watch()
+        await lease._check()
         self.assertFalse(lease.held)
-        await self.take(lease)
+        await self.acquire(lease)
         self.assertEqual(lease.epoch, 2)
 
 
 class TestClaims(PlatformCase):
-    """A key is won once, by whoever; also when answers are lost."""
+    """Exactly one entry wins a key, even if responses are lost."""
 
     async def claim_all(
         self, writers: list[ClaimWriter], keys: list[str]
@@ -222,7 +226,7 @@
             runners.cancel_scope.cancel()
         return results
 
-    async def test_each_key_is_won_once(self) -> None:
+    async def test_each_key_has_one_winner(self) -> None:
         writers = [ClaimWriter(self.client(), f"entry-{n}") for n in range(3)]
         keys = [f"k{n}" for n in range(40)]
         for key, results in (await self.claim_all(writers, keys)).items():
@@ -231,16 +235,16 @@
         writes = sum(writer.transactions for writer in writers)
         self.assertLess(writes, len(keys))
 
-    async def test_lost_answers_never_give_a_key_to_two(self) -> None:
-        self.call_s = FAULT_TIMEOUT_S
+    async def test_lost_responses_give_no_key_two_winners(self) -> None:
+        self.call_timeout_s = FAULT_TIMEOUT_S
         writers = [ClaimWriter(self.client(), f"entry-{n}") for n in range(2)]
         await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=2)
         for key, results in (await self.claim_all(writers, [f"k{n}" for n in range(20)])).items():
             won = [result for result in results if isinstance(result, Won)]
             self.assertEqual(len(won), 1, key)
 
-    async def test_an_outage_is_unresolved_and_names_its_cause(self) -> None:
-        self.call_s = FAULT_TIMEOUT_S
+    async def test_a_claim_during_an_outage_is_unresolved_and_has_a_reason(self) -> None:
+        self.call_timeout_s = FAULT_TIMEOUT_S
         await self.orders.fail(PlatformFault.REFUSE)
         results = await self.claim_all([ClaimWriter(self.client(), "entry-1")], ["k1"])
         match results["k1"]:
@@ -249,7 +253,7 @@
             case other:
                 self.fail(str(other))
 
-    async def test_a_taken_key_shows_its_row(self) -> None:
+    async def test_a_taken_key_returns_its_claim(self) -> None:
         first, second = (ClaimWriter(self.client(), name) for name in ("a", "b"))
         await self.claim_all([first], ["k1"])
         match (await self.claim_all([second], ["k1"]))["k1"]:
@@ -260,11 +264,11 @@
 
 
 class TestRetention(PlatformCase):
-    """Old rows go, and nothing else."""
+    """Old rows are deleted, and no others."""
 
     async def test_only_old_claims_are_deleted(self) -> None:
         lease = Lease(self.client(), ProcessId("a"), LEASE_S)
-        await lease._watch()
+        await lease._check()
         settings = ManagerSettings(claim_retention_h=1)
         retention = Retention(settings, self.client(), lease)
         writer = ClaimWriter(self.client(), "a")
@@ -275,15 +279,15 @@
             await writer.write("old", old, 0, 5)
             await writer.write("new", new, 0, 5)
             tasks.cancel_scope.cancel()
-        await retention.sweep_claims()
+        await retention.delete_old_claims()
         rows = (await self.client().scan("claim/")).ok
         self.assertEqual([row.key for row in rows], ["claim/new"])
 
 
 class TestClient(PlatformCase):
-    """What may have reached the platform is never called unavailable."""
+    """A call that may have reached the platform never counts as unavailable."""
 
-    async def test_a_connection_closed_before_the_answer_is_a_lost_answer(self) -> None:
+    async def test_a_connection_closed_before_the_response_is_a_lost_response(self) -> None:
         async def close(stream: anyio.abc.SocketStream) -> None:
             await stream.receive()
             await stream.aclose()
@@ -293,6 +297,6 @@
         settings = PlatformSettings(url=f"http://127.0.0.1:{port}", timeout_s=1)
         async with listener, anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, close)
-            answer = await PlatformClient(settings).read(["a"])
+            result = await PlatformClient(settings).read(["a"])
             tasks.cancel_scope.cancel()
-        self.assertIsInstance(answer.error, AnswerLost)
+        self.assertIsInstance(result.error, AnswerLost)
