--- a/pumicespur/peers/_links.py
+++ b/pumicespur/peers/_links.py
@@ -126,7 +126,7 @@
         if heartbeat.sender is not None:
             self.members.note_heartbeat(heartbeat.sender)
             self.heard_at[heartbeat.sender.id] = monotonic()
-        return HeartbeatReply(id=self.members.me.id, revision=self.replica.revision)
+        return HeartbeatReply(id=self.members.own_member.id, revision=self.replica.revision)
 
     async def _keep_links(self) -> None:
         """Run one task for each address to link to, as peers come and go."""
@@ -148,7 +148,7 @@
         out of date, so the peers in the settings are added.
         """
         members = self.members.members
-        chosen = choose_links(self.members.me.id, members)
+        chosen = choose_links(self.members.own_member.id, members)
         addresses = {members[name].peer_address for name in chosen}
         if self.members.platform.silent_s() > SEED_PEERS_DELAY_S:
             addresses |= set(self.settings.peers) - {self.address}
@@ -176,7 +176,7 @@
     async def _send_heartbeat(self, socket: pynng.Req0) -> None:
         """Send a heartbeat, then fetch or push the records that one side lacks."""
         heartbeat = Heartbeat(
-            sender=self.members.me, revision=self.replica.revision, stopping=self.stopping
+            sender=self.members.own_member, revision=self.replica.revision, stopping=self.stopping
         )
         requested_at = monotonic()
         reply = await self._exchange(socket, PeerRequest(heartbeat=heartbeat))
--- a/pumicespur/peers/_members.py
+++ b/pumicespur/peers/_members.py
@@ -34,17 +34,17 @@
 class MemberList:
     """The known processes by id, including this one."""
 
-    def __init__(self, platform: PlatformClient, me: Member) -> None:
+    def __init__(self, platform: PlatformClient, own_member: Member) -> None:
         self.platform = platform
-        self.me = me
-        self.members: dict[str, Member] = {me.id: me}
+        self.own_member = own_member
+        self.members: dict[str, Member] = {own_member.id: own_member}
         self._versions: dict[str, tuple[int, float]] = {}
         """Version of each member's row, and when it was first seen; version 0 without a row."""
         self._written_at = float("-inf")
 
     def others(self) -> list[Member]:
         """Return all other processes."""
-        return [member for member in self.members.values() if member.id != self.me.id]
+        return [member for member in self.members.values() if member.id != self.own_member.id]
 
     def note_heartbeat(self, member: Member) -> None:
         """Add or update a member from its heartbeat."""
@@ -60,13 +60,15 @@
 
     async def leave(self) -> None:
         """Delete this process's row, at a planned stop."""
-        await self.platform.transact(Transaction([], [Write(MEMBER_PREFIX + self.me.id, None)]))
+        await self.platform.transact(
+            Transaction([], [Write(MEMBER_PREFIX + self.own_member.id, None)])
+        )
 
     async def _refresh(self) -> None:
         if monotonic() - self._written_at < REFRESH_INTERVAL_S:
             return
-        self.me.refreshed_ms = now_ms()
-        row = Write(MEMBER_PREFIX + self.me.id, self.me.to_binary())
+        self.own_member.refreshed_ms = now_ms()
+        row = Write(MEMBER_PREFIX + self.own_member.id, self.own_member.to_binary())
         match await self.platform.transact(Transaction([], [row])):
             case Result(tag="ok"):
                 self._written_at = monotonic()
--- a/pumicespur/peers/_topology.py
+++ b/pumicespur/peers/_topology.py
@@ -16,10 +16,10 @@
     from collections.abc import Collection
 
 
-def choose_links(me: str, members: Collection[str]) -> list[str]:
+def choose_links(own_id: str, members: Collection[str]) -> list[str]:
     """Return the members to link to, without this process itself."""
-    ring = sorted({*members, me}, key=_ring_key)
-    own_position = ring.index(me)
+    ring = sorted({*members, own_id}, key=_ring_key)
+    own_position = ring.index(own_id)
     links: list[str] = []
     step = 1
     while step < len(ring):
--- a/pumicespur/state/_lease.py
+++ b/pumicespur/state/_lease.py
@@ -27,7 +27,7 @@
 log = Logger(__name__)
 
 RENEWALS_PER_LEASE = 3
-"""Renewals, or checks of other processes, during the duration of one lease."""
+"""How often the holder renews the lease, and the others check it, within its duration."""
 
 
 class LeaseState(Enum):
@@ -46,7 +46,9 @@
         self.lease_s = lease_s
         self.state = LeaseState.WAITING
         self.holder = ""
+        """Id of the process that holds the lease, as last read or written."""
         self.epoch = Epoch(0)
+        """Number of the current holder's takeover, as last read or written."""
         self._lease = Row(LEASE_KEY, b"", 0)
         self._renewal = Row(RENEWAL_KEY, b"", 0)
         self._renewal_seen_at = monotonic()
@@ -90,6 +92,7 @@
                 log.warning("can't renew the planner lease", epoch=self.epoch, fault=str(error))
 
     async def _check(self) -> None:
+        """Read both rows, and take the lease over if it is free, expired or this process's own."""
         response = await self.platform.read([LEASE_KEY, RENEWAL_KEY])
         match response:
             case Result(tag="ok", ok=[lease, renewal]):
@@ -102,6 +105,7 @@
             await self._take_over()
 
     def _note_rows(self, lease: Row, renewal: Row) -> None:
+        """Note the rows as read; a new version of either one counts as a renewal."""
         if (lease.version, renewal.version) != (self._lease.version, self._renewal.version):
             self._renewal_seen_at = monotonic()
         self._lease = lease
@@ -111,6 +115,7 @@
         self.epoch = Epoch(content.get("epoch", 0))
 
     def _is_expired(self) -> bool:
+        """Whether this process has seen no renewal for the duration of the lease."""
         return monotonic() - self._renewal_seen_at >= self.lease_s
 
     async def _take_over(self) -> None:
--- a/pumicespur/state/_log.py
+++ b/pumicespur/state/_log.py
@@ -60,12 +60,12 @@
     def __init__(self, platform: PlatformClient) -> None:
         self.platform = platform
 
-    async def head(self) -> Result[Head, Fault]:
+    async def read_head(self) -> Result[Head, Fault]:
         """Read the head row; the revision is 0 for an empty log."""
         response = await self.platform.read([HEAD_KEY])
         return response.map(lambda rows: Head(int(rows[0].value or b"0"), rows[0].version))
 
-    async def records(self, after: int, limit: int = 500) -> Result[list[Record], Fault]:
+    async def read_records(self, after: int, limit: int = 500) -> Result[list[Record], Fault]:
         """Read at most `limit` records after a revision, in order and without gaps."""
         start = record_key(after)
         response = await self.platform.scan("log/0", after=start, limit=limit)
@@ -116,7 +116,7 @@
             case _:
                 return Error(Uncertain(record.token))
 
-    async def snapshot(self) -> Result[Snapshot | None, Fault]:
+    async def read_snapshot(self) -> Result[Snapshot | None, Fault]:
         """Fetch the newest snapshot; None if there is none yet."""
         response = await self.platform.get_object(SNAPSHOT_OBJECT)
         return response.map(lambda content: Snapshot.from_binary(content) if content else None)
--- a/pumicespur/state/_replica.py
+++ b/pumicespur/state/_replica.py
@@ -37,6 +37,7 @@
         self.store = store
         self.fleet = Fleet()
         self.recent: deque[Record] = deque(maxlen=MAX_RECENT_RECORDS)
+        """The newest records applied, without gaps."""
         self.changed = anyio.Event()
         """Set at the next change of the fleet; each change replaces it by a new event."""
         self.head_version = 0
@@ -52,7 +53,7 @@
     async def catch_up(self) -> Result[int, Fault]:
         """Apply all records in the table service; return the revision reached."""
         requested_at = monotonic()
-        response = await self.store.head()
+        response = await self.store.read_head()
         match response:
             case Result(tag="ok", ok=head):
                 pass
@@ -68,10 +69,11 @@
         return Ok(self.revision)
 
     async def _read_more(self) -> Result[None, Fault]:
+        """Read and apply the next records, or the snapshot; fail if neither gets any further."""
         before = self.revision
         if before == 0 and (await self._load_stored_snapshot(before)).is_ok():
             return Ok(None)
-        match await self.store.records(before):
+        match await self.store.read_records(before):
             case Result(tag="ok", ok=records):
                 self.apply_records(records)
             case Result(error=error):
@@ -82,7 +84,7 @@
 
     async def _load_stored_snapshot(self, before: int) -> Result[None, Fault]:
         """Load the stored snapshot, in a new process or if the next record has been deleted."""
-        match await self.store.snapshot():
+        match await self.store.read_snapshot():
             case Result(tag="ok", ok=Snapshot() as snapshot):
                 self.apply_snapshot(snapshot)
             case Result(tag="error", error=error):
--- a/pumicespur/utils/__init__.py
+++ b/pumicespur/utils/__init__.py
@@ -4,11 +4,11 @@
 
 from pumicespur.utils._clock import BootTimeEventLoop, monotonic, now_ms, run_process
 from pumicespur.utils._event_log import set_up_event_log
-from pumicespur.utils._logs import set_up_logs
 from pumicespur.utils._messages import replace_fields
 from pumicespur.utils._metrics import METRICS
 from pumicespur.utils._processes import announce, stop_on_signals
-from pumicespur.utils._rate import TokenBucket
+from pumicespur.utils._stderr_log import set_up_logs
+from pumicespur.utils._token_bucket import TokenBucket
 
 __all__ = [
     "METRICS",
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -79,7 +79,7 @@
             return PeerReply(heartbeat=HeartbeatReply(id="peer", revision=1))
 
         network = SimpleNamespace(
-            members=SimpleNamespace(me=None),
+            members=SimpleNamespace(own_member=None),
             replica=SimpleNamespace(revision=1, confirm=confirmed.append),
             stopping=False,
             _exchange=exchange,
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -95,7 +95,7 @@
         self.assertEqual(len(await self.tokens()), 2)
 
     async def test_an_append_is_uncertain_if_every_response_is_lost(self) -> None:
-        head = (await self.replica().store.head()).ok
+        head = (await self.replica().store.read_head()).ok
         self.call_timeout_s = FAULT_TIMEOUT_S
         await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=1000)
         result = await self.replica().store.append(empty_record("ann"), head)
@@ -108,7 +108,7 @@
     async def test_an_append_to_a_hanging_store_is_uncertain_and_a_refused_connection_is_not(
         self,
     ) -> None:
-        head = (await self.replica().store.head()).ok
+        head = (await self.replica().store.read_head()).ok
         self.call_timeout_s = FAULT_TIMEOUT_S
         replica = self.replica()
         await self.orders.fail(PlatformFault.HANG)
