--- a/benchmarks/jobs.py
+++ b/benchmarks/jobs.py
@@ -53,7 +53,7 @@
     for number in range(int(workers * JOBS_A_WORKER)):
         add_job(pool, number)
     pool.place(0.0, 0.0)
-    pool.fresh.clear()
+    pool.newly_placed.clear()
     pool.dirty.clear()
     return pool
 
@@ -91,7 +91,7 @@
         started = time.perf_counter()
         pool.place(0.0, 0.0)
         rounds.append(time.perf_counter() - started)
-        pool.fresh.clear()
+        pool.newly_placed.clear()
         pool.dirty.clear()
     middle = REPEATS // 2
     return [
--- a/pumicespur/jobs/_access.py
+++ b/pumicespur/jobs/_access.py
@@ -16,7 +16,7 @@
     from pumicespur.schema.jobs_pb import JobRecord, ProgressRecord
 
 
-def is_there_for(caller: AccountId, route: Route, job: JobRecord | ProgressRecord) -> bool:
+def is_visible_to(caller: AccountId, route: Route, job: JobRecord | ProgressRecord) -> bool:
     """Tell whether a caller on a route may know of a job.
 
     A job without an account came while its route needed no key; whoever may call the route now
--- a/pumicespur/jobs/_account_report.py
+++ b/pumicespur/jobs/_account_report.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from pumicespur.jobs._account_use import Use
-from pumicespur.jobs._ledger import WHOLE
+from pumicespur.jobs._account_usage import ResourceUsage
+from pumicespur.jobs._ledger import WHOLE_LIMIT
 from pumicespur.utils import METRICS
 
 if TYPE_CHECKING:
@@ -17,18 +17,20 @@
     from pumicespur.model import AccountId, PoolId
     from pumicespur.schema.jobs_pb import PoolReport
 
-ACCOUNTS_TOLD = 20
+MAX_NAMED_ACCOUNTS = 20
 """Accounts that are told of by name: those with the most running. The rest is summed, so that no
 number of accounts swells a dump or a page of metrics."""
 
 OTHERS = "(others)"
 
 
-def _largest(pool: PoolState) -> tuple[list[tuple[AccountId, Use]], Use]:
+def _largest(pool: PoolState) -> tuple[list[tuple[AccountId, ResourceUsage]], ResourceUsage]:
     """Return the accounts with the most running, and the sum of all others."""
-    sums = sorted(pool.limits.use.sums.items(), key=lambda entry: (-entry[1].cpu_millis, entry[0]))
-    others = Use()
-    for _, used in sums[ACCOUNTS_TOLD:]:
+    sums = sorted(
+        pool.limits.usage.sums.items(), key=lambda entry: (-entry[1].cpu_millis, entry[0])
+    )
+    others = ResourceUsage()
+    for _, used in sums[MAX_NAMED_ACCOUNTS:]:
         others = replace(
             others,
             cpu_millis=others.cpu_millis + used.cpu_millis,
@@ -36,7 +38,7 @@
             accelerators=others.accelerators + used.accelerators,
             tasks=others.tasks + used.tasks,
         )
-    return sums[:ACCOUNTS_TOLD], others
+    return sums[:MAX_NAMED_ACCOUNTS], others
 
 
 def count_accounts(pool: PoolState) -> None:
@@ -45,8 +47,10 @@
     for account, used in largest:
         labels = {"pool": pool.pool, "account": account}
         METRICS.account_cpu.set(labels, used.cpu_millis)
-        if account in pool.limits.parts:
-            METRICS.account_part.set(labels, pool.limits.parts[account].ledger.part / WHOLE)
+        if account in pool.limits.allotments:
+            METRICS.account_part.set(
+                labels, pool.limits.allotments[account].ledger.allotment / WHOLE_LIMIT
+            )
     METRICS.account_cpu.set({"pool": pool.pool, "account": OTHERS}, others.cpu_millis)
 
 
@@ -54,47 +58,47 @@
     """Return what accounts have running in a pool and what of their limits it holds."""
     largest, others = _largest(pool)
     found = {str(account): _describe(pool, account, used) for account, used in largest}
-    for account in sorted(pool.limits.lacking)[:ACCOUNTS_TOLD]:
-        used = pool.limits.use.of(account)
+    for account in sorted(pool.limits.blocked_accounts)[:MAX_NAMED_ACCOUNTS]:
+        used = pool.limits.usage.of(account)
         found.setdefault(account, _describe(pool, account, used))
     if others.tasks:
         found[OTHERS] = {"tasks": others.tasks, "cpu_millis": others.cpu_millis}
     return found
 
 
-def _describe(pool: PoolState, account: AccountId, used: Use) -> dict[str, object]:
+def _describe(pool: PoolState, account: AccountId, used: ResourceUsage) -> dict[str, object]:
     limits = pool.limits
     limit = limits.limit_of(account)
-    told: dict[str, object] = {
+    described: dict[str, object] = {
         "tasks": used.tasks,
         "cpu_millis": used.cpu_millis,
         "memory_mb": used.memory_mb,
         "limit_cpu_millis": limit.cpu_millis,
         "limit_memory_mb": limit.memory_mb,
     }
-    part = limits.parts.get(account)
-    if part is not None:
-        told["part"] = part.ledger.part / WHOLE
-        told["used"] = used.share_of(limit) / WHOLE
-        told["withheld"] = part.withheld / WHOLE
-        told["lacking"] = part.lacking / WHOLE
-    return told
+    allotment = limits.allotments.get(account)
+    if allotment is not None:
+        described["part"] = allotment.ledger.allotment / WHOLE_LIMIT
+        described["used"] = used.share_of(limit) / WHOLE_LIMIT
+        described["withheld"] = allotment.withheld / WHOLE_LIMIT
+        described["lacking"] = allotment.shortfall / WHOLE_LIMIT
+    return described
 
 
 def describe_hold(
     pool: PoolState, job: Job, reports: Mapping[PoolId, PoolReport]
 ) -> dict[str, object]:
     """Tell whether an account's limit holds a job's tasks back, and which pools have its parts."""
-    told: dict[str, object] = {"beyond_share": job.beyond_share}
-    if job.account not in pool.limits.lacking:
-        return told
+    described: dict[str, object] = {"beyond_share": job.exceeds_share}
+    if job.account not in pool.limits.blocked_accounts:
+        return described
     held = {
-        str(other): part.held / WHOLE
+        str(other): part.held / WHOLE_LIMIT
         for other, report in reports.items()
         for part in report.parts
         if part.account == job.account
     }
-    used = pool.limits.use.of(job.account)
-    held[pool.pool] = pool.limits.part_of(job.account).ledger.part / WHOLE
-    told["held_by_limit"] = _describe(pool, job.account, used) | {"parts": held}
-    return told
+    used = pool.limits.usage.of(job.account)
+    held[pool.pool] = pool.limits.allotment_of(job.account).ledger.allotment / WHOLE_LIMIT
+    described["held_by_limit"] = _describe(pool, job.account, used) | {"parts": held}
+    return described
--- a/pumicespur/jobs/_account_use.py
+++ b/pumicespur/jobs/_account_usage.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pumicespur.jobs._ledger import WHOLE
+from pumicespur.jobs._ledger import WHOLE_LIMIT
 
 if TYPE_CHECKING:
     from pumicespur.model import AccountId, Capacity
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Use:
+class ResourceUsage:
     """A sum over tasks, in thousandths of a core, in MB and in accelerators."""
 
     cpu_millis: int = 0
@@ -40,37 +40,37 @@
             memory += count * more.memory_mb
             accelerators += count * more.accelerators
         shares = (
-            _share(cpu, limit.cpu_millis),
-            _share(memory, limit.memory_mb),
-            _share(accelerators, limit.accelerators),
+            _share_of(cpu, limit.cpu_millis),
+            _share_of(memory, limit.memory_mb),
+            _share_of(accelerators, limit.accelerators),
         )
         return max(shares)
 
-    def fitting(self, limit: Capacity, task: StepRecord, most: int) -> int:
+    def count_fitting(self, limit: Capacity, task: StepRecord, max_count: int) -> int:
         """Return how many more such tasks a limit has room for, `most` at most."""
         left = (
-            _times(limit.cpu_millis, self.cpu_millis, task.cpu_millis, most),
-            _times(limit.memory_mb, self.memory_mb, task.memory_mb, most),
-            _times(limit.accelerators, self.accelerators, task.accelerators, most),
+            _count_fitting(limit.cpu_millis, self.cpu_millis, task.cpu_millis, max_count),
+            _count_fitting(limit.memory_mb, self.memory_mb, task.memory_mb, max_count),
+            _count_fitting(limit.accelerators, self.accelerators, task.accelerators, max_count),
         )
         return min(left)
 
 
-def _times(limit: int, used: int, each: int, most: int) -> int:
+def _count_fitting(limit: int, used: int, each: int, max_count: int) -> int:
     if not limit or not each:
-        return most
-    return max(0, min(most, (limit - used) // each))
+        return max_count
+    return max(0, min(max_count, (limit - used) // each))
 
 
-def _share(amount: int, limit: int) -> int:
-    return -(-amount * WHOLE // limit) if limit else 0
+def _share_of(amount: int, limit: int) -> int:
+    return -(-amount * WHOLE_LIMIT // limit) if limit else 0
 
 
-class AccountUse:
+class AccountUsage:
     """Sums by account. What may have been started counts until it is known to be over."""
 
     def __init__(self) -> None:
-        self.sums: defaultdict[AccountId, Use] = defaultdict(Use)
+        self.sums: defaultdict[AccountId, ResourceUsage] = defaultdict(ResourceUsage)
 
     def add(self, account: AccountId, task: StepRecord | LeftRun, count: int) -> None:
         """Count tasks of an account, or, by a negative number, count them no longer."""
@@ -81,10 +81,10 @@
         if not used.tasks:
             del self.sums[account]
 
-    def of(self, account: AccountId) -> Use:
+    def of(self, account: AccountId) -> ResourceUsage:
         """Return what an account has."""
-        return self.sums.get(account, NOTHING)
+        return self.sums.get(account, NO_USAGE)
 
 
-NOTHING = Use()
+NO_USAGE = ResourceUsage()
 """The use of an account that has nothing running."""
--- a/pumicespur/jobs/_advice.py
+++ b/pumicespur/jobs/_advice_client.py
@@ -19,17 +19,17 @@
 
 log = Logger(__name__)
 
-WORKERS_ASKED = 16
+MAX_WORKERS_PER_CALL = 16
 """Workers named in one call: enough to spread a step, and a tenth of a second of advice."""
 
-IDLE_S = 0.05
+IDLE_POLL_INTERVAL_S = 0.05
 """Pause while no step needs advice."""
 
-RETRY_S = 0.3
-"""Pause after the service refused or did not answer; it works on one call at a time."""
+RETRY_DELAY_S = 0.3
+"""Pause after the service refused or did not response; it works on one call at a time."""
 
 
-class AdviceDesk:
+class AdviceClient:
     """Asks for tickets, the most pressing step first, one call at a time."""
 
     def __init__(self, pool: PoolState, orders: WorkerOrders) -> None:
@@ -41,9 +41,9 @@
         while True:
             group = self._next_group()
             if group is None:
-                await anyio.sleep(IDLE_S)
+                await anyio.sleep(IDLE_POLL_INTERVAL_S)
             elif not await self._ask(group):
-                await anyio.sleep(RETRY_S)
+                await anyio.sleep(RETRY_DELAY_S)
 
     def _next_group(self) -> StepGroup | None:
         now = monotonic()
@@ -54,15 +54,15 @@
 
     def _candidates(self, group: StepGroup) -> list[WorkerId]:
         now = monotonic()
-        loads = [load for load in self.pool.loads.values() if load.takes(group, now)]
-        loads.sort(key=lambda load: (load.share(), load.worker.id))
-        return [load.worker.id for load in loads[:WORKERS_ASKED]]
+        loads = [load for load in self.pool.loads.values() if load.can_take(group, now)]
+        loads.sort(key=lambda load: (load.utilization(), load.worker.id))
+        return [load.worker.id for load in loads[:MAX_WORKERS_PER_CALL]]
 
     async def _ask(self, group: StepGroup) -> bool:
         asked_at = monotonic()
         workers = self._candidates(group)
-        answer = await self.orders.advise(group.name, workers)
-        match answer:
+        response = await self.orders.advise(group.name, workers)
+        match response:
             case Result(tag="ok", ok=(tickets, valid_s)):
                 # Counted from the question, so that no ticket is used after its time.
                 group.tickets = {
@@ -70,6 +70,6 @@
                 }
                 log.info("advice taken", job=group.job.id, step=group.name, workers=len(tickets))
                 return bool(tickets)
-            case Result(error=fault):
-                log.warning("advice not given", step=group.name, reason=str(fault))
+            case Result(error=error):
+                log.warning("advice not given", step=group.name, reason=str(error))
                 return False
--- a/pumicespur/jobs/_parts.py
+++ b/pumicespur/jobs/_allotment_exchange.py
@@ -9,8 +9,8 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.jobs._gifts import OtherPart
 from pumicespur.jobs._keys import FOUNDERS_KEY, PARTS_TABLE, part_key
+from pumicespur.jobs._limit_transfers import PeerAllotment
 from pumicespur.model import AccountId, PoolId
 from pumicespur.schema.jobs_pb import FoundersRecord, PartRecord
 from pumicespur.store import Condition, Transaction, Write
@@ -25,14 +25,14 @@
 
 log = Logger(__name__)
 
-RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 """Pause after a fault of the store."""
 
 PARTS_MAX_AGE_S = 3.0
 """Oldest report that counts: some heartbeats. A gift is told until it is known to be taken."""
 
 
-class PartKeeper:
+class AllotmentExchange:
     """Reads, records and exchanges the parts that one pool holds."""
 
     def __init__(
@@ -40,20 +40,20 @@
         limits: PoolLimits,
         table: PlatformTable,
         view: NodeView,
-        tell: Callable[[], None],
+        request_report: Callable[[], None],
     ) -> None:
         self.limits = limits
         self.table = table
         self.view = view
-        self.tell = tell
+        self.request_report = request_report
         """Asks for a report at once."""
-        self.told: set[AccountId] = set()
+        self.reported_accounts: set[AccountId] = set()
         """Accounts that the last report told of."""
 
     async def load(self) -> None:
         """Read what earlier owners recorded; nothing of theirs can follow any more."""
         self.limits.set_accounts(self.view.configuration.accounts)
-        self.limits.set_founders(await self._founders())
+        self.limits.set_founders(await self._read_founders())
         while True:
             kept = await self.table.scan(PARTS_TABLE, self.limits.pool)
             match kept:
@@ -62,9 +62,9 @@
                     self.limits.restore(records)
                     return
                 case Result(error=fault):
-                    await self._wait(str(fault))
+                    await self._wait_to_retry(str(fault))
 
-    async def _founders(self) -> list[PoolId]:
+    async def _read_founders(self) -> list[PoolId]:
         """Return which pools held equal parts at first; whoever asks first decides that."""
         while True:
             found = await self.table.read(FOUNDERS_KEY)
@@ -73,41 +73,44 @@
                     record = FoundersRecord.from_binary(row.value)
                     return [PoolId(pool) for pool in record.pools]
                 case Result(tag="ok"):
-                    await self._found()
+                    await self._write_founders()
                 case Result(error=fault):
-                    await self._wait(str(fault))
+                    await self._wait_to_retry(str(fault))
 
-    async def _found(self) -> None:
+    async def _write_founders(self) -> None:
         """Write the founders unless another owner has; the row is read again in any case."""
         write = Write(FOUNDERS_KEY, FoundersRecord(pools=sorted(self.view.pools())).to_binary())
         written = await self.table.transact(Transaction([Condition(FOUNDERS_KEY, 0)], [write]))
         if written.is_error():
             log.info("founders not written", pool=self.limits.pool, reason=str(written.error))
 
-    async def _wait(self, reason: str) -> None:
+    async def _wait_to_retry(self, reason: str) -> None:
         log.warning("parts not read", pool=self.limits.pool, reason=reason)
-        await anyio.sleep(RETRY_S)
+        await anyio.sleep(RETRY_DELAY_S)
 
-    def hear(self, now: float) -> bool:
+    def apply_reports(self, now: float) -> bool:
         """Take in what other pools' owners told, and the newest accounts; return if parts moved."""
         self.limits.set_accounts(self.view.configuration.accounts)
-        others: defaultdict[AccountId, list[OtherPart]] = defaultdict(list)
+        others: defaultdict[AccountId, list[PeerAllotment]] = defaultdict(list)
         for pool, report in self.view.fresh_reports(PARTS_MAX_AGE_S).items():
             if pool == self.limits.pool:
                 continue
             for part in report.parts:
-                others[AccountId(part.account)].append(OtherPart(pool, part))
-        return self.limits.hear(others, now)
+                others[AccountId(part.account)].append(PeerAllotment(pool, part))
+        return self.limits.apply_reports(others, now)
 
-    def tell_news(self) -> None:
+    def report_new_shortfalls(self) -> None:
         """Tell the other owners at once of an account that lacks a part, here or there."""
-        if not self.limits.lacking | self.limits.asked <= self.told:
-            self.tell()
+        if (
+            not self.limits.blocked_accounts | self.limits.awaited_accounts
+            <= self.reported_accounts
+        ):
+            self.request_report()
 
     def report(self) -> list[PartReport]:
         """Return what the other owners are to hear."""
         reports = self.limits.reports()
-        self.told = {AccountId(report.account) for report in reports}
+        self.reported_accounts = {AccountId(report.account) for report in reports}
         return reports
 
     def write(self, record: PartRecord) -> Write:
@@ -122,7 +125,7 @@
                 "part recorded",
                 pool=self.limits.pool,
                 account=record.account,
-                held=self.limits.part_of(AccountId(record.account)).ledger.part,
+                held=self.limits.allotment_of(AccountId(record.account)).ledger.allotment,
             )
         if self.limits.note_recorded(records):
-            self.tell()
+            self.request_report()
--- a/pumicespur/jobs/_availability.py
+++ b/pumicespur/jobs/_availability.py
@@ -9,13 +9,13 @@
 
 if TYPE_CHECKING:
     from pumicespur.jobs._job import Task
-    from pumicespur.jobs._load import WorkerLoad
     from pumicespur.jobs._pool import PoolState
+    from pumicespur.jobs._worker_load import WorkerLoad
 
-LEAVE_RESERVE_S = 0.8
+CHECKPOINT_LEAD_TIME_S = 0.8
 """Time before a worker leaves by which tasks with checkpoints are stopped: two stops."""
 
-MOVE_AGAIN_S = 1.0
+MOVE_RETRY_DELAY_S = 1.0
 """Time after which a stop for a move that shows no effect is given again."""
 
 
@@ -31,20 +31,20 @@
         for task in sorted(load.tasks, key=lambda task: task.name):
             if (
                 _may_stop(pool, task, now, chosen)
-                and has_place(pool, task, now)
-                or _loses_progress(load, task, now)
+                and has_free_worker(pool, task, now)
+                or _would_lose_progress(load, task, now)
             ):
                 chosen.append(task)
     return chosen
 
 
-def _loses_progress(load: WorkerLoad, task: Task, now: float) -> bool:
+def _would_lose_progress(load: WorkerLoad, task: Task, now: float) -> bool:
     """Whether a short task would end with its worker although its progress can be kept."""
-    if load.leaves_at is None or load.leaves_at - now > LEAVE_RESERVE_S:
+    if load.leaves_at is None or load.leaves_at - now > CHECKPOINT_LEAD_TIME_S:
         return False
     if task.spec.long_running or not task.spec.checkpoints or task.job.ended:
         return False
-    return task.state is TaskState.RUNNING and now - task.stop_sent_at >= MOVE_AGAIN_S
+    return task.state is TaskState.RUNNING and now - task.stop_sent_at >= MOVE_RETRY_DELAY_S
 
 
 def _is_leaving(load: WorkerLoad) -> bool:
@@ -55,14 +55,14 @@
 def _may_stop(pool: PoolState, task: Task, now: float, chosen: list[Task]) -> bool:
     if not task.spec.long_running or task.job.ended or task.state is not TaskState.RUNNING:
         return False
-    if now - task.stop_sent_at < MOVE_AGAIN_S:
+    if now - task.stop_sent_at < MOVE_RETRY_DELAY_S:
         return False
     if not task.spec.may_miss:
         return True
-    return away_beside(pool, task, chosen) < task.spec.may_miss
+    return count_unavailable_others(pool, task, chosen) < task.spec.may_miss
 
 
-def away_beside(pool: PoolState, task: Task, chosen: list[Task]) -> int:
+def count_unavailable_others(pool: PoolState, task: Task, chosen: list[Task]) -> int:
     """Count the other tasks of a step that are not known to be at work, or will not be."""
     return sum(
         1
@@ -72,14 +72,16 @@
 
 
 def _is_away(pool: PoolState, task: Task) -> bool:
-    if task.away_since is not None or task.state is not TaskState.RUNNING:
+    if task.unavailable_since is not None or task.state is not TaskState.RUNNING:
         return True
     load = pool.load_of(task)
     return load is None or not load.reachable
 
 
-def has_place(pool: PoolState, task: Task, now: float) -> bool:
+def has_free_worker(pool: PoolState, task: Task, now: float) -> bool:
     """Tell whether another worker has room for a task, so that a stop leads somewhere."""
     return any(
-        load.takes(task.group, now) for load in pool.loads.values() if load.worker.id != task.worker
+        load.can_take(task.group, now)
+        for load in pool.loads.values()
+        if load.worker.id != task.worker
     )
--- a/pumicespur/jobs/_estimates.py
+++ b/pumicespur/jobs/_estimates.py
@@ -10,66 +10,66 @@
 if TYPE_CHECKING:
     from pumicespur.model import RouteName
 
-PRIOR_TASKS = 8.0
+PRIOR_WEIGHT = 8.0
 """Tasks that the assumption of sound estimates counts for; a few jobs outweigh it."""
 
-PRIOR_SPREAD = 0.25
+PRIOR_VARIANCE = 0.25
 """Variance of the logarithms of the estimates that the assumption brings along."""
 
-MEMORY_TASKS = 400.0
+DECAY_TASKS = 400.0
 """Tasks after which older ones count less; some seconds of a busy route."""
 
-LEAST_MS = 1.0
+MIN_DURATION_MS = 1.0
 """Shortest time that is told apart from none."""
 
 
 @dataclass
-class RouteEstimates:
+class RouteEstimator:
     """A line through the logarithms of declared and measured times, with a prior of slope one."""
 
     weight: float = 0.0
-    declared: float = 0.0
-    taken: float = 0.0
-    declared_squared: float = 0.0
-    product: float = 0.0
+    sum_declared: float = 0.0
+    sum_actual: float = 0.0
+    sum_declared_squared: float = 0.0
+    sum_product: float = 0.0
     """Sums over the tasks so far, each times its weight."""
 
-    def note(self, declared_ms: float, taken_ms: float) -> None:
+    def note(self, declared_ms: float, actual_ms: float) -> None:
         """Learn from one task."""
-        x = math.log(max(LEAST_MS, declared_ms))
-        y = math.log(max(LEAST_MS, taken_ms))
-        kept = 1.0 - 1.0 / MEMORY_TASKS
+        x = math.log(max(MIN_DURATION_MS, declared_ms))
+        y = math.log(max(MIN_DURATION_MS, actual_ms))
+        kept = 1.0 - 1.0 / DECAY_TASKS
         self.weight = self.weight * kept + 1.0
-        self.declared = self.declared * kept + x
-        self.taken = self.taken * kept + y
-        self.declared_squared = self.declared_squared * kept + x * x
-        self.product = self.product * kept + x * y
+        self.sum_declared = self.sum_declared * kept + x
+        self.sum_actual = self.sum_actual * kept + y
+        self.sum_declared_squared = self.sum_declared_squared * kept + x * x
+        self.sum_product = self.sum_product * kept + x * y
 
     def corrected_ms(self, declared_ms: float) -> float:
         """Return the time to expect of a task, in milliseconds."""
-        x = math.log(max(LEAST_MS, declared_ms))
+        x = math.log(max(MIN_DURATION_MS, declared_ms))
         if not self.weight:
             return declared_ms
-        mean_x = self.declared / self.weight
-        mean_y = self.taken / self.weight
-        spread = self.declared_squared - self.weight * mean_x * mean_x
-        common = self.product - self.weight * mean_x * mean_y
-        prior = PRIOR_TASKS * PRIOR_SPREAD
+        mean_x = self.sum_declared / self.weight
+        mean_y = self.sum_actual / self.weight
+        spread = self.sum_declared_squared - self.weight * mean_x * mean_x
+        common = self.sum_product - self.weight * mean_x * mean_y
+        prior = PRIOR_WEIGHT * PRIOR_VARIANCE
         slope = (common + prior) / (spread + prior)
-        trust = self.weight / (self.weight + PRIOR_TASKS)
-        learnt = mean_y + slope * (x - mean_x)
-        return math.exp(trust * learnt + (1.0 - trust) * x)
+        confidence = self.weight / (self.weight + PRIOR_WEIGHT)
+        fitted = mean_y + slope * (x - mean_x)
+        return math.exp(confidence * fitted + (1.0 - confidence) * x)
 
 
-class Estimates:
+class DurationEstimates:
     """The estimates of each route of a pool."""
 
     def __init__(self) -> None:
-        self.routes: defaultdict[RouteName, RouteEstimates] = defaultdict(RouteEstimates)
+        self.routes: defaultdict[RouteName, RouteEstimator] = defaultdict(RouteEstimator)
 
-    def note(self, route: RouteName, declared_ms: float, taken_ms: float) -> None:
+    def note(self, route: RouteName, declared_ms: float, actual_ms: float) -> None:
         """Learn from a task that ended well."""
-        self.routes[route].note(declared_ms, taken_ms)
+        self.routes[route].note(declared_ms, actual_ms)
 
     def corrected_ms(self, route: RouteName, declared_ms: float) -> float:
         """Return the time to expect of a task of a route, in milliseconds."""
--- a/pumicespur/jobs/_shares.py
+++ b/pumicespur/jobs/_fair_share.py
@@ -7,14 +7,14 @@
 if TYPE_CHECKING:
     from pumicespur.model import AccountId
 
-BURST_S = 1.0
+MAX_BURST_S = 1.0
 """Time for which an account may be ahead of its rate: a share is so many jobs in each second."""
 
-ACCOUNTS_KEPT = 10_000
+MAX_ACCOUNTS = 10_000
 """Accounts that are remembered; those of the largest deployment foreseen."""
 
 
-class ShareMeter:
+class FairShareMeter:
     """Measures each account's jobs against its weight, in jobs a second, by the time they came.
 
     It is the generic cell rate algorithm (ITU-T I.371): for each account one time, that by which
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.due_ms: dict[AccountId, float] = {}
 
-    def goes_beyond(self, account: AccountId, weight: float, accepted_ms: int) -> bool:
+    def exceeds_share(self, account: AccountId, weight: float, accepted_ms: int) -> bool:
         """Count a job; return whether its account has had its share of that second.
 
         Without an account or a weight nothing goes beyond.
@@ -33,10 +33,10 @@
             return False
         each_ms = 1000 / weight
         due_ms = max(self.due_ms.get(account, 0.0), accepted_ms)
-        if due_ms + each_ms - accepted_ms > BURST_S * 1000 + each_ms:
+        if due_ms + each_ms - accepted_ms > MAX_BURST_S * 1000 + each_ms:
             return True
         self.due_ms.pop(account, None)
         self.due_ms[account] = due_ms + each_ms
-        while len(self.due_ms) > ACCOUNTS_KEPT:
+        while len(self.due_ms) > MAX_ACCOUNTS:
             del self.due_ms[next(iter(self.due_ms))]
         return False
--- a/pumicespur/jobs/_job.py
+++ b/pumicespur/jobs/_job.py
@@ -26,11 +26,11 @@
 )
 
 if TYPE_CHECKING:
-    from pumicespur.jobs._estimates import Estimates
+    from pumicespur.jobs._estimates import DurationEstimates
     from pumicespur.model import Rack, Route
     from pumicespur.schema.jobs_pb import JobRecord, StepRecord
 
-TICKET_RESERVE_S = 0.2
+MIN_TICKET_VALIDITY_S = 0.2
 """Time that a ticket must still hold when it is used: a commit and a call."""
 
 ENDED_PHASES = frozenset({JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED})
@@ -48,23 +48,23 @@
     DONE = "done"
 
 
-class Standing(Enum):
+class RunStability(Enum):
     """How far a task's present run has shown that it does not bring its worker down."""
 
     NEW = "new"
     PROVEN = "proven"
     """It has gone on for longer than a program takes to start."""
-    SETTLED = "settled"
+    STABLE = "settled"
     """It has gone on for so long that the worker's end has another cause."""
 
 
 @dataclass(frozen=True)
-class Loss:
+class WorkerLoss:
     """A worker that was lost with a task on it that may have been the cause."""
 
     worker: WorkerId
     instance: InstanceId
-    alone: bool
+    sole_suspect: bool
     """Nothing else can have been the cause."""
 
 
@@ -78,14 +78,14 @@
     state: TaskState = TaskState.WAITING
     run: int = 0
     failures: int = 0
-    losses: list[Loss] = field(default_factory=list)
+    losses: list[WorkerLoss] = field(default_factory=list)
     """Workers lost under the task since it last ran well for a while, oldest first."""
-    standing: Standing = Standing.NEW
-    on_trial: bool = False
+    stability: RunStability = RunStability.NEW
+    quarantined: bool = False
     """It was placed on a worker to itself, as one that may bring it down."""
-    trial_asked_at: float | None = None
+    quarantine_requested_at: float | None = None
     """Monotonic time since which it waits for such a worker, in seconds."""
-    seen_at: float = 0.0
+    first_seen_at: float = 0.0
     """Monotonic time at which the present run was first known to be there, in seconds."""
     checkpoint: str = ""
     worker: WorkerId | None = None
@@ -101,12 +101,12 @@
     """Monotonic time of the last order to stop the present run."""
     stopping_run: int = 0
     """The run that was ordered to stop last; it may look at work for a little longer."""
-    pace: int = 100
+    speed_percent: int = 100
     ticket: str = ""
     """Permission of the advising service for the present worker."""
-    figure: float = 0.0
+    measurement: float = 0.0
     """Measured latency (ms) or processor use, see `Running`."""
-    away_since: float | None = None
+    unavailable_since: float | None = None
     """Monotonic time since which a long-running task has not been at work."""
 
     @property
@@ -119,16 +119,16 @@
         """Return the step that the task belongs to."""
         return self.group.spec
 
-    def wants(self, worker: WorkerId, run: int) -> bool:
+    def is_current_run(self, worker: WorkerId, run: int) -> bool:
         """Whether a run on a worker may go on, which only the newest one may."""
         return not self.job.ended and (self.worker, self.run) == (worker, run)
 
-    def release(self, checkpoint: str = "") -> None:
+    def mark_waiting(self, checkpoint: str = "") -> None:
         """Let the task wait for its next start."""
         self.state = TaskState.WAITING
         self.worker = None
         self.percent = 0
-        self.pace = 100
+        self.speed_percent = 100
         if checkpoint:
             self.checkpoint = checkpoint
 
@@ -162,7 +162,7 @@
     def ticket(self, worker: WorkerId, now: float) -> str:
         """Return a worker's ticket, empty if it has none that holds long enough."""
         ticket, until = self.tickets.get(worker, ("", 0.0))
-        return ticket if until - now > TICKET_RESERVE_S else ""
+        return ticket if until - now > MIN_TICKET_VALIDITY_S else ""
 
     def has_tickets(self, now: float) -> bool:
         """Whether any ticket still holds."""
@@ -189,11 +189,11 @@
     max_attempts: int
     deadline_ms: float
     """Time of day by which the job ought to be completed, in milliseconds since 1970."""
-    rest_ms: list[float] = field(default_factory=list)
+    critical_paths_ms: list[float] = field(default_factory=list)
     """For each step the longest chain from its start to the job's end, in milliseconds."""
     account: AccountId = ANYONE
     """Whose it is, whatever becomes of the key that it came with."""
-    beyond_share: bool = False
+    exceeds_share: bool = False
     """Its account had handed in more than its weight when it came."""
     advised: bool = False
     """Its tasks need tickets of the advising service."""
@@ -247,7 +247,7 @@
             failure=self.failure,
         )
         if self.ended:
-            record.left = self.left_runs()
+            record.left = self.outstanding_runs()
             return record
         done = 0
         for task in self.tasks:
@@ -258,7 +258,7 @@
         record.done = done.to_bytes((done.bit_length() + 7) // 8, "little")
         return record
 
-    def left_runs(self) -> list[LeftRun]:
+    def outstanding_runs(self) -> list[LeftRun]:
         """Return the runs that were ordered and are not known to be over."""
         return [
             LeftRun(
@@ -285,7 +285,7 @@
             task.run = kept.run
             task.failures = kept.failures
             task.losses = [
-                Loss(WorkerId(loss.worker), InstanceId(loss.instance), loss.alone)
+                WorkerLoss(WorkerId(loss.worker), InstanceId(loss.instance), loss.alone)
                 for loss in kept.losses
             ]
             task.checkpoint = kept.checkpoint
@@ -305,15 +305,15 @@
         failures=task.failures,
         checkpoint=task.checkpoint,
         losses=[
-            LossRecord(worker=loss.worker, instance=loss.instance, alone=loss.alone)
+            LossRecord(worker=loss.worker, instance=loss.instance, alone=loss.sole_suspect)
             for loss in task.losses
         ],
     )
 
 
-def make_job(record: JobRecord, route: Route | None, estimates: Estimates) -> Job:
+def make_job(record: JobRecord, route: Route | None, estimates: DurationEstimates) -> Job:
     """Lay out a job's tasks; without its route it can't be started but can be kept."""
-    rest_ms = longest_chains_ms(record, estimates)
+    critical_paths_ms = compute_critical_paths_ms(record, estimates)
     stretch = route.stretch if route else 1.0
     objective_ms = route.latency_objective_s * 1000 if route else 0.0
     job = Job(
@@ -322,8 +322,10 @@
         route=RouteName(record.route),
         priority=route.priority if route else 0,
         max_attempts=route.max_attempts if route else 1,
-        deadline_ms=record.accepted_ms + objective_ms + stretch * max(rest_ms, default=0.0),
-        rest_ms=rest_ms,
+        deadline_ms=record.accepted_ms
+        + objective_ms
+        + stretch * max(critical_paths_ms, default=0.0),
+        critical_paths_ms=critical_paths_ms,
         account=AccountId(record.account),
         advised=route is not None and route.advice is not None,
     )
@@ -344,7 +346,7 @@
         job.by_name[name] = task
 
 
-def longest_chains_ms(record: JobRecord, estimates: Estimates) -> list[float]:
+def compute_critical_paths_ms(record: JobRecord, estimates: DurationEstimates) -> list[float]:
     """Return for each step the longest chain from its start to the job's end, in milliseconds."""
     route = RouteName(record.route)
     rest = [estimates.corrected_ms(route, step.estimated_ms) for step in record.steps]
--- a/pumicespur/jobs/_journal.py
+++ b/pumicespur/jobs/_journal.py
@@ -21,11 +21,11 @@
 
 log = Logger(__name__)
 
-RETRY_S = 0.05
-"""First pause after a fault of the store; a few of its usual answers."""
+RETRY_DELAY_S = 0.05
+"""First pause after a error of the store; a few of its usual answers."""
 
-MAX_RETRY_S = 0.5
-"""Longest pause after a fault, so that work goes on soon after an outage."""
+MAX_RETRY_DELAY_S = 0.5
+"""Longest pause after a error, so that work goes on soon after an outage."""
 
 
 class OwnershipLostError(Exception):
@@ -62,9 +62,9 @@
                 case Result(tag="ok", ok=row):
                     self.last_version = row.version
                     return
-                case Result(error=fault):
-                    log.warning("store not read", pool=self.ownership.pool, reason=str(fault))
-                    await anyio.sleep(MAX_RETRY_S * random.uniform(0.5, 1.0))
+                case Result(error=error):
+                    log.warning("store not read", pool=self.ownership.pool, reason=str(error))
+                    await anyio.sleep(MAX_RETRY_DELAY_S * random.uniform(0.5, 1.0))
 
     async def release(self, process: str) -> None:
         """Give the pool up; whoever takes it need not wait for this process to go silent."""
@@ -73,28 +73,28 @@
         transaction = Transaction(
             [Condition(key, self.ownership.token)], [Write(key, record.to_binary())]
         )
-        answer = await self.table.transact(transaction)
+        response = await self.table.transact(transaction)
         log.info(
             "pool released",
             pool=self.ownership.pool,
             token=self.ownership.token,
-            confirmed=answer.is_ok(),
+            confirmed=response.is_ok(),
         )
 
     async def commit(self, writes: list[Write]) -> None:
         """Write rows as the pool's owner; return only when they are known to be recorded.
 
-        A commit without an answer may still take effect later. It is sent again unchanged:
+        A commit without an response may still take effect later. It is sent again unchanged:
         it replaces a row that it also has as a condition, so it can apply only once, and
         when it is refused, that row tells whether it had been applied.
         """
         transaction, record = self._transaction(writes)
         started = monotonic()
-        pause_s = RETRY_S
+        pause_s = RETRY_DELAY_S
         while True:
             sent_at = monotonic()
-            answer = await self.table.transact(transaction)
-            match answer:
+            response = await self.table.transact(transaction)
+            match response:
                 case Result(tag="ok", ok=version):
                     self._confirm(version, sent_at)
                     METRICS.commits.observe({}, monotonic() - started)
@@ -105,16 +105,16 @@
                         raise OwnershipLostError(f"pool {self.ownership.pool}") from None
                     self._confirm(applied, sent_at)
                     return
-                case Result(error=fault):
+                case Result(error=error):
                     log.warning(
                         "commit not answered",
                         pool=self.ownership.pool,
                         number=self.number,
-                        lost=isinstance(fault, AnswerLost),
-                        reason=str(fault),
+                        lost=isinstance(error, AnswerLost),
+                        reason=str(error),
                     )
             await anyio.sleep(pause_s * random.uniform(0.5, 1.0))
-            pause_s = min(MAX_RETRY_S, pause_s * 2)
+            pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
 
     def _transaction(self, writes: list[Write]) -> tuple[Transaction, bytes]:
         pool = self.ownership.pool
@@ -143,4 +143,4 @@
                         return None
                     return commit.version
                 case _:
-                    await anyio.sleep(MAX_RETRY_S * random.uniform(0.5, 1.0))
+                    await anyio.sleep(MAX_RETRY_DELAY_S * random.uniform(0.5, 1.0))
--- a/pumicespur/jobs/_beliefs.py
+++ b/pumicespur/jobs/_known_state.py
@@ -16,13 +16,13 @@
 if TYPE_CHECKING:
     from pumicespur.schema.node_pb import WorkerSettings
 
-WIRE_SHARE = 0.25
+START_CALL_RATIO = 0.25
 """Share of the time allowed that the call of a start may take; the rest is for what it rests on."""
 
 
 def start_timeout_s(settings: WorkerSettings) -> float:
     """Return how long the call of a start is waited for, in seconds."""
-    return min(settings.call_timeout_s, WIRE_SHARE * settings.drain_ms / 1000)
+    return min(settings.call_timeout_s, START_CALL_RATIO * settings.drain_ms / 1000)
 
 
 def workers_max_age_s(settings: WorkerSettings) -> float:
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Beliefs:
+class KnownState:
     """How far an owner knows the tables that its orders rest on."""
 
     workers: Reading = field(default_factory=Reading)
@@ -46,7 +46,7 @@
     configuration: int = -1
     """Version of the configuration in force here."""
 
-    def outdated(self, settings: WorkerSettings, now: float) -> str:
+    def staleness_reason(self, settings: WorkerSettings, now: float) -> str:
         """Return what is known too little of for a start to be ordered; empty if nothing is."""
         if self.workers.age_s(now) > workers_max_age_s(settings):
             return "the list of workers is out of date"
@@ -54,7 +54,7 @@
             return "cancellations may be unheard"
         return ""
 
-    def hold_for_s(self, settings: WorkerSettings, now: float) -> float:
+    def valid_for_s(self, settings: WorkerSettings, now: float) -> float:
         """Return for how long a start that rests on them may still begin, in seconds."""
         return min(
             settings.drain_ms / 1000 - self.workers.age_s(now),
--- a/pumicespur/jobs/_lease.py
+++ b/pumicespur/jobs/_lease.py
@@ -33,13 +33,13 @@
     """Share by which the worker's clock may run slow."""
     earlier: EarlierLeases
     clock_ms: float | None = None
-    heard_at: float = 0.0
-    promised_ms: float = 0.0
+    last_seen_at: float = 0.0
+    granted_until_ms: float = 0.0
 
-    def note(self, clock_ms: float, now: float) -> None:
+    def note_clock(self, clock_ms: float, now: float) -> None:
         """Take a reading of the worker's clock; it showed at least this at `now`."""
         self.clock_ms = clock_ms
-        self.heard_at = now
+        self.last_seen_at = now
 
     def grant(self, now: float, lease_s: float, at_most_s: float = math.inf) -> int | None:
         """Return a deadline on the worker's clock, or None before its clock is known.
@@ -48,15 +48,15 @@
         """
         if self.clock_ms is None:
             return None
-        since_s = now - self.heard_at
+        since_s = now - self.last_seen_at
         left_s = min(since_s + lease_s, (since_s + at_most_s) * (1 - self.drift))
         deadline = self.clock_ms + left_s * 1000
-        self.promised_ms = max(self.promised_ms, deadline)
+        self.granted_until_ms = max(self.granted_until_ms, deadline)
         return int(deadline)
 
-    def over_at(self) -> float:
+    def expires_at(self) -> float:
         """Return the monotonic time by which all that the worker ran has ended."""
         if self.clock_ms is None:
             return self.earlier.until
-        left_s = max(0.0, self.promised_ms - self.clock_ms) / 1000
-        return max(self.earlier.until, self.heard_at + left_s / (1 - self.drift))
+        left_s = max(0.0, self.granted_until_ms - self.clock_ms) / 1000
+        return max(self.earlier.until, self.last_seen_at + left_s / (1 - self.drift))
--- a/pumicespur/jobs/_ledger.py
+++ b/pumicespur/jobs/_ledger.py
@@ -22,17 +22,17 @@
 
     from pumicespur.model import AccountId
 
-WHOLE = 1_000_000
+WHOLE_LIMIT = 1_000_000
 """A whole limit. Parts are shares, so that a limit that rises or falls does so in all pools at
 once, each by its newest configuration, and no part has to be divided anew."""
 
 
-def founding_part(pool: PoolId, founders: Sequence[PoolId]) -> int:
+def founding_allotment(pool: PoolId, founders: Sequence[PoolId]) -> int:
     """Return what a pool holds of every account's limit before any part changed hands."""
     if pool not in founders:
         return 0
-    rest = WHOLE % len(founders) if pool == min(founders) else 0
-    return WHOLE // len(founders) + rest
+    rest = WHOLE_LIMIT % len(founders) if pool == min(founders) else 0
+    return WHOLE_LIMIT // len(founders) + rest
 
 
 @dataclass
@@ -47,13 +47,13 @@
     """What the others may take: gifts that are known to be recorded."""
 
     @property
-    def part(self) -> int:
+    def allotment(self) -> int:
         """Return the part that the pool holds."""
         return self.founding + sum(self.taken.values()) - sum(self.given.values())
 
     def give(self, pool: PoolId, amount: int) -> None:
         """Let another pool have some of the part; it may take it once this is recorded."""
-        assert 0 < amount <= self.part
+        assert 0 < amount <= self.allotment
         self.given[pool] = self.given.get(pool, 0) + amount
 
     def take(self, pool: PoolId, ever_given: int) -> bool:
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -8,20 +8,20 @@
 import anyio
 from logbook import Logger
 
-from pumicespur.jobs._advice import AdviceDesk
+from pumicespur.jobs._advice_client import AdviceClient
+from pumicespur.jobs._allotment_exchange import AllotmentExchange
 from pumicespur.jobs._availability import tasks_to_move
-from pumicespur.jobs._beliefs import Beliefs, start_timeout_s
-from pumicespur.jobs._intake import JobIntake
-from pumicespur.jobs._job import Job, Loss, Task, TaskState
+from pumicespur.jobs._job import Job, Task, TaskState, WorkerLoss
 from pumicespur.jobs._journal import Journal, Ownership, OwnershipLostError
 from pumicespur.jobs._keys import progress_key
-from pumicespur.jobs._pace import choose_paces
-from pumicespur.jobs._parts import PartKeeper
+from pumicespur.jobs._known_state import KnownState, start_timeout_s
 from pumicespur.jobs._pool import PoolState
-from pumicespur.jobs._reports import report_pool
+from pumicespur.jobs._pool_report import report_pool
+from pumicespur.jobs._pool_sizing import PoolSizer
 from pumicespur.jobs._restarts import Restarts
-from pumicespur.jobs._size import PoolSize
-from pumicespur.jobs._watch import WorkerWatch
+from pumicespur.jobs._submission_follower import SubmissionFollower
+from pumicespur.jobs._throttle import choose_speed_changes
+from pumicespur.jobs._worker_session import WorkerSession
 from pumicespur.model import InstanceId, WorkerId, WorkerState, worker_name
 from pumicespur.store import Write
 from pumicespur.utils import METRICS, monotonic, now_ms
@@ -43,28 +43,28 @@
 
 log = Logger(__name__)
 
-GROUP_S = 0.004
+COMMIT_DELAY_S = 0.004
 """Time for which changes are gathered into one commit; about one answer of the store."""
 
-JOBS_PER_COMMIT = 45
+MAX_JOBS_PER_COMMIT = 45
 """Two rows for each job that ends, and the owner's own, stay under 100 entries."""
 
-PARTS_PER_COMMIT = 40
+MAX_ALLOTMENTS_PER_COMMIT = 40
 """One row each, beside those of the jobs."""
 
-IDLE_COMMIT_S = 1.0
+IDLE_COMMIT_INTERVAL_S = 1.0
 """An owner with nothing to record proves this often that it still owns the pool."""
 
-ROUND_S = 0.25
+MAX_ROUND_INTERVAL_S = 0.25
 """Longest pause between placements, for work that falls due by time alone."""
 
-EVACUATION_MAX_AGE_S = 3.0
+MAX_EVACUATION_AGE_S = 3.0
 """Oldest word of the fleet's holder that is followed; a few heartbeats."""
 
-LIST_POLL_S = 0.01
+WORKERS_POLL_INTERVAL_S = 0.01
 """Pause between looks whether the list of workers is known."""
 
-SETTLE_S = 1.5
+MOVE_DELAY_S = 1.5
 """Time after a takeover before tasks are moved: stops that the owner before gave take effect."""
 
 RETENTION_MS = 180_000
@@ -78,7 +78,7 @@
     writes: list[Write] = field(default_factory=list)
     ended: list[Job] = field(default_factory=list)
     starts: list[tuple[Task, int, WorkerId]] = field(default_factory=list)
-    acknowledged: list[tuple[WorkerWatch, int]] = field(default_factory=list)
+    acknowledged: list[tuple[WorkerSession, int]] = field(default_factory=list)
     parts: list[PartRecord] = field(default_factory=list)
 
 
@@ -92,8 +92,8 @@
         table: PlatformTable,
         orders: WorkerOrders,
         ownership: Ownership,
-        earlier: EarlierLeases,
-        tell: Callable[[], None],
+        earlier_leases: EarlierLeases,
+        request_heartbeat: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.view = view
@@ -101,17 +101,19 @@
         self.orders = orders
         self.ownership = ownership
         self.token = ownership.token
-        self.earlier = earlier
+        self.earlier_leases = earlier_leases
         self.pool = PoolState(ownership.pool)
         self.journal = Journal(table, ownership)
-        self.watches: dict[WorkerId, WorkerWatch] = {}
-        self.restarts = Restarts(settings.workers, earlier)
-        self.tell = tell
+        self.watches: dict[WorkerId, WorkerSession] = {}
+        self.restarts = Restarts(settings.workers, earlier_leases)
+        self.request_heartbeat = request_heartbeat
         """Asks for a heartbeat at once."""
-        self.size = PoolSize(self.pool, tell)
-        self.intake = JobIntake(self.pool, table, view, settings, self.wake, self.size.note_arrival)
-        self.parts = PartKeeper(self.pool.limits, table, view, tell)
-        self.held_back = ""
+        self.size = PoolSizer(self.pool, request_heartbeat)
+        self.submissions = SubmissionFollower(
+            self.pool, table, view, settings, self.wake, self.size.note_arrival
+        )
+        self.parts = AllotmentExchange(self.pool.limits, table, view, request_heartbeat)
+        self.start_block_reason = ""
         """Why no start is decided at present; empty if they are."""
         self.stopping = False
         self.stopped = anyio.Event()
@@ -128,7 +130,7 @@
 
         With a round for each report, owners of pools in overload did little but place again.
         """
-        if self.ready and self.parts.hear(monotonic()):
+        if self.ready and self.parts.apply_reports(monotonic()):
             self.wake()
 
     def spawn(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
@@ -136,15 +138,15 @@
         if self.tasks is not None:
             self.tasks.start_soon(function, *arguments)
 
-    def beliefs(self) -> Beliefs:
+    def known_state(self) -> KnownState:
         """Return what is known at present of what orders rest on."""
-        return Beliefs(
+        return KnownState(
             workers=self.view.workers_reading,
-            submissions=self.intake.reading,
+            submissions=self.submissions.reading,
             configuration=self.view.configuration.version,
         )
 
-    def may_extend(self, now: float) -> bool:
+    def may_renew_leases(self, now: float) -> bool:
         """Whether leases may still be extended; a successor counts on it that they are not."""
         silence_s = self.settings.workers.owner_silence_s
         return not self.stopping and now - self.journal.confirmed_at < silence_s
@@ -157,16 +159,16 @@
             async with anyio.create_task_group() as readers:
                 readers.start_soon(self.journal.load)
                 readers.start_soon(self.parts.load)
-                readers.start_soon(self.intake.load)
-            self._tell_taken()
+                readers.start_soon(self.submissions.load)
+            self._log_takeover()
             await self._wait_for_workers()
             async with anyio.create_task_group() as self.tasks:
                 self.sync_workers()
                 self.ready = True
-                self.tasks.start_soon(self.intake.follow)
-                self.tasks.start_soon(self.intake.sweep.run)
-                self.tasks.start_soon(self._free_unlisted)
-                self.tasks.start_soon(AdviceDesk(self.pool, self.orders).run)
+                self.tasks.start_soon(self.submissions.follow)
+                self.tasks.start_soon(self.submissions.cleanup.run)
+                self.tasks.start_soon(self._requeue_unlisted)
+                self.tasks.start_soon(AdviceClient(self.pool, self.orders).run)
                 await self._rounds()
                 self.tasks.cancel_scope.cancel()
         except* OwnershipLostError as lost:
@@ -185,17 +187,17 @@
     async def _wait_for_workers(self) -> None:
         """Wait for the list of workers: tasks on workers that are not listed start elsewhere."""
         while not self.view.workers_known and not self.stopping:
-            await anyio.sleep(LIST_POLL_S)
+            await anyio.sleep(WORKERS_POLL_INTERVAL_S)
 
-    def _tell_taken(self) -> None:
+    def _log_takeover(self) -> None:
         METRICS.takeovers.inc({})
         log.info(
             "pool taken",
             pool=self.pool.pool,
             token=self.token,
             jobs=len(self.pool.jobs),
-            ended=len(self.intake.ended),
-            submissions_version=self.intake.reading.version,
+            ended=len(self.submissions.ended),
+            submissions_version=self.submissions.reading.version,
         )
 
     def sync_workers(self) -> None:
@@ -204,11 +206,11 @@
             return
         listed = {w.id: w for w in self.view.workers.values() if w.pool == self.ownership.pool}
         # First the lives that are over: what they leave is taken over by the next ones.
-        for watch in list(self.watches.values()):
-            if watch.id not in listed:
-                self._note_unlisted(watch)
-        living = self.restarts.living(listed)
-        self._watch_new([worker for worker in living if worker.id not in self.watches])
+        for session in list(self.watches.values()):
+            if session.id not in listed:
+                self._note_unlisted(session)
+        living = self.restarts.current_incarnations(listed)
+        self._open_sessions([worker for worker in living if worker.id not in self.watches])
         for worker in living:
             known = self.watches.get(worker.id)
             if known is not None:
@@ -222,97 +224,99 @@
                 self.pool.add_worker(worker)
         self.wake()
 
-    def _note_unlisted(self, watch: WorkerWatch) -> None:
-        watch.load.listed = False
-        if self._has_next_life(watch):
-            watch.end_with_successor(leased=True)
-        elif self._has_successor(watch):
-            watch.end("its instance runs another worker")
+    def _note_unlisted(self, session: WorkerSession) -> None:
+        session.load.listed = False
+        if self._has_next_incarnation(session):
+            session.end_restarted(leased=True)
+        elif self._has_successor(session):
+            session.end("its instance runs another worker")
 
     def note_restart(self, worker: WorkerId, *, leased: bool) -> None:
         """Note that a life of a worker is over although the store may still list it."""
-        self.restarts.note(worker, monotonic(), leased=leased)
+        self.restarts.note_ended(worker, monotonic(), leased=leased)
 
-    def note_barred(self, worker: WorkerId, run: RunKey) -> None:
+    def note_revoked(self, worker: WorkerId, run: RunKey) -> None:
         """Note that a worker was told to refuse a run whose start may still be done late."""
-        self.restarts.note_barred(worker, run, monotonic())
+        self.restarts.note_revoked(worker, run, monotonic())
 
-    def _watch_new(self, workers: Sequence[Worker]) -> None:
+    def _open_sessions(self, workers: Sequence[Worker]) -> None:
         """Follow lives of workers that are not followed yet."""
         if not workers:
             return
         assigned = self.pool.assigned_tasks()
         lost = self.pool.lost_workers()
         for worker in workers:
-            self._watch(worker, assigned.get(worker.name, ()), worker.id in lost)
+            self._open_session(worker, assigned.get(worker.name, ()), worker.id in lost)
 
-    def _watch(self, worker: Worker, tasks: Iterable[Task], blamed: bool) -> None:
+    def _open_session(self, worker: Worker, tasks: Iterable[Task], blamed: bool) -> None:
         """Follow a life of a worker, with the starts that an earlier owner or life left open."""
-        watch = WorkerWatch(self, worker, self.restarts.leases_of(worker, monotonic()))
-        watch.blamed = blamed
+        session = WorkerSession(self, worker, self.restarts.unknown_leases(worker, monotonic()))
+        session.loss_attributed = blamed
         for task in tasks:
-            watch.starts.adopt(task, self.ownership.acquired_at)
-        watch.to_bar = self.restarts.barred_runs(worker, monotonic())
-        self.pool.adopt_inherited(watch.load)
-        self.watches[worker.id] = watch
-        self.spawn(watch.run)
+            session.starts.adopt(task, self.ownership.acquired_at)
+        session.to_revoke = self.restarts.revoked_runs(worker, monotonic())
+        self.pool.adopt_inherited(session.load)
+        self.watches[worker.id] = session
+        self.spawn(session.run)
 
-    def _has_next_life(self, watch: WorkerWatch) -> bool:
+    def _has_next_incarnation(self, session: WorkerSession) -> bool:
         """Whether a worker tells another birth, by an entry that names a known pool."""
-        found = self.view.workers.get(watch.load.worker.name)
+        found = self.view.workers.get(session.load.worker.name)
         pools = self.view.configuration.pools
-        if found is None or found.id == watch.id or self.restarts.is_over(found.id):
+        if found is None or found.id == session.id or self.restarts.has_ended(found.id):
             return False
         return found.pool in pools or found.pool == self.ownership.pool
 
-    def _has_successor(self, watch: WorkerWatch) -> bool:
+    def _has_successor(self, session: WorkerSession) -> bool:
         """Whether a newer life runs on a worker's instance, by an entry that names a known pool."""
-        instance = watch.load.worker.instance
+        instance = session.load.worker.instance
         pools = self.view.configuration.pools
         return bool(instance) and any(
             w.instance == instance and w.pool in pools for w in self.view.workers.values()
         )
 
-    def _watch_of(self, task: Task) -> WorkerWatch | None:
+    def _session_of(self, task: Task) -> WorkerSession | None:
         return self.watches.get(task.worker) if task.worker else None
 
     def forget(self, worker: WorkerId) -> None:
         """Drop a worker whose life is over."""
         self.watches.pop(worker, None)
 
-    def _free_left_starts(self, now: float) -> None:
+    def _requeue_expired_starts(self, now: float) -> None:
         """Let tasks start elsewhere whose worker has not come back in any life."""
-        lives = self.restarts.take_outwaited(now)
+        lives = self.restarts.take_expired(now)
         if not lives:
             return
         for job in list(self.pool.jobs.values()):
             for task in job.tasks:
                 if task.worker in lives and not job.ended:
-                    self._free_lost(task, "its worker did not come back")
+                    self._requeue_lost(task, "its worker did not come back")
 
-    def _free_lost(self, task: Task, reason: str) -> None:
+    def _requeue_lost(self, task: Task, reason: str) -> None:
         """Let a task start elsewhere that is lost with a worker that is not followed."""
         assert task.worker is not None
         log.info("start undone", job=task.job.id, task=task.name, reason=reason)
         instance = InstanceId(worker_name(task.worker))
-        self.pool.lose_run(task, Loss(task.worker, instance, alone=False))
-        self.pool.free(task)
+        self.pool.note_lost_run(task, WorkerLoss(task.worker, instance, sole_suspect=False))
+        self.pool.requeue(task)
 
-    async def _free_unlisted(self) -> None:
+    async def _requeue_unlisted(self) -> None:
         """Let tasks on workers that the store does not list start elsewhere, once that is safe."""
-        while monotonic() < self.earlier.until:
-            await anyio.sleep(min(ROUND_S, max(0.0, self.earlier.until - monotonic())))
+        while monotonic() < self.earlier_leases.until:
+            await anyio.sleep(
+                min(MAX_ROUND_INTERVAL_S, max(0.0, self.earlier_leases.until - monotonic()))
+            )
         for job in list(self.pool.jobs.values()):
             for task in job.tasks:
                 if task.worker and task.worker not in self.watches and not job.ended:
-                    self._free_lost(task, "worker not listed")
+                    self._requeue_lost(task, "worker not listed")
         for worker in self.pool.inherited.keys() - self.watches.keys():
-            self.pool.settle_inherited(worker)
+            self.pool.resolve_inherited(worker)
         self.wake()
 
     def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
         """Take in the end of a run; it is acknowledged once it is recorded."""
-        task = self.pool.task(end.task)
+        task = self.pool.find_task(end.task)
         log.info(
             "task ended",
             job=str(end.task).partition(".")[0],
@@ -331,40 +335,40 @@
     async def _rounds(self) -> None:
         """Place, record, then order what is recorded; again and again."""
         while True:
-            with anyio.move_on_after(ROUND_S):
+            with anyio.move_on_after(MAX_ROUND_INTERVAL_S):
                 await self.changed.wait()
-            await anyio.sleep(GROUP_S)
+            await anyio.sleep(COMMIT_DELAY_S)
             self.changed = anyio.Event()
             if not self.stopping:
                 self._evacuate()
-                self._free_left_starts(monotonic())
-                self._note_limits(monotonic())
-                self.parts.hear(monotonic())
+                self._requeue_expired_starts(monotonic())
+                self._update_limits(monotonic())
+                self.parts.apply_reports(monotonic())
                 if self._may_start(monotonic()):
                     self.pool.place(monotonic(), now_ms())
-                self.parts.tell_news()
-                self.size.note(monotonic())
-                self._pace()
+                self.parts.report_new_shortfalls()
+                self.size.update(monotonic())
+                self._throttle()
             batch = self._collect()
             idle_s = monotonic() - self.journal.confirmed_at
-            if batch.writes or idle_s > IDLE_COMMIT_S:
+            if batch.writes or idle_s > IDLE_COMMIT_INTERVAL_S:
                 await self.journal.commit(batch.writes)
             self._carry_out(batch)
             if self.stopping and not self.pool.dirty:
                 await self.journal.release(self.settings.process.id)
                 return
 
-    def _note_limits(self, now: float) -> None:
+    def _update_limits(self, now: float) -> None:
         """Judge by the newest limits, and by none while newer ones must be in force."""
         limits = self.pool.limits
         limits.set_accounts(self.view.configuration.accounts)
         settings = self.settings
         allowed_s = settings.process.configuration_ms / 1000 - start_timeout_s(settings.workers)
-        doubtful = self.view.outdated_s(now) > allowed_s
-        if doubtful != limits.doubtful:
-            limits.doubtful = doubtful
+        stale = self.view.outdated_s(now) > allowed_s
+        if stale != limits.stale:
+            limits.stale = stale
             log.warning(
-                "limits out of date" if doubtful else "limits up to date",
+                "limits out of date" if stale else "limits up to date",
                 pool=self.pool.pool,
                 configuration=self.view.configuration.version,
                 newest=self.view.newest_heard(),
@@ -372,59 +376,59 @@
 
     def _may_start(self, now: float) -> bool:
         """Whether enough is known for starts to be decided; leases go on in any case."""
-        reason = self.beliefs().outdated(self.settings.workers, now)
-        if reason != self.held_back:
-            self.held_back = reason
+        reason = self.known_state().staleness_reason(self.settings.workers, now)
+        if reason != self.start_block_reason:
+            self.start_block_reason = reason
             log.warning(
                 "starts held back" if reason else "starts go on",
                 pool=self.pool.pool,
                 reason=reason,
-                **self.beliefs().describe(now),
+                **self.known_state().describe(now),
             )
         return not reason
 
-    def _pace(self) -> None:
+    def _throttle(self) -> None:
         """Slow filling tasks down where tasks that serve users suffer."""
-        for task, percent in choose_paces(self.pool.loads.values(), monotonic()):
-            watch = self._watch_of(task)
-            if watch is not None:
-                self.spawn(watch.pace, task, percent)
+        for task, percent in choose_speed_changes(self.pool.loads.values(), monotonic()):
+            session = self._session_of(task)
+            if session is not None:
+                self.spawn(session.throttle, task, percent)
 
     def _evacuate(self) -> None:
         """Keep new tasks off workers that are to be emptied, and move lasting ones away."""
-        self._note_evacuations()
+        self._update_evacuations()
         now = monotonic()
-        if now - self.ownership.acquired_at < SETTLE_S:
+        if now - self.ownership.acquired_at < MOVE_DELAY_S:
             return
         for task in tasks_to_move(self.pool, now):
-            watch = self._watch_of(task)
-            if watch is not None:
+            session = self._session_of(task)
+            if session is not None:
                 task.stop_sent_at = now
                 task.stopping_run = task.run
-                task.away_since = now
-                self.spawn(watch.stop, task.name, task.run, "its worker is to be emptied")
+                task.unavailable_since = now
+                self.spawn(session.stop, task.name, task.run, "its worker is to be emptied")
 
-    def _note_evacuations(self) -> None:
+    def _update_evacuations(self) -> None:
         """Take in which workers are to be emptied, and tell at once what has become empty."""
-        names = self.view.evacuations(EVACUATION_MAX_AGE_S)
+        names = self.view.evacuations(MAX_EVACUATION_AGE_S)
         now = monotonic()
         news = False
         for load in self.pool.loads.values():
             wanted = None if names is None else load.worker.name in names
-            if load.note_evacuation(wanted, now):
+            if load.update_evacuation(wanted, now):
                 news = True
-            if load.evacuating and not load.tasks and load.told_tasks:
+            if load.evacuating and not load.tasks and load.reported_tasks:
                 news = True
         if news:
-            self.tell()
+            self.request_heartbeat()
 
     def _collect(self) -> Batch:
         """Gather what changed; ends are acknowledged only when every change is in."""
         batch = Batch()
         now = now_ms()
-        batch.parts = self.pool.limits.take_changed(PARTS_PER_COMMIT)
+        batch.parts = self.pool.limits.take_changed(MAX_ALLOTMENTS_PER_COMMIT)
         batch.writes = [self.parts.write(record) for record in batch.parts]
-        dirty = sorted(self.pool.dirty, key=lambda job: job.id)[:JOBS_PER_COMMIT]
+        dirty = sorted(self.pool.dirty, key=lambda job: job.id)[:MAX_JOBS_PER_COMMIT]
         for job in dirty:
             self.pool.dirty.discard(job)
             key = progress_key(self.pool.pool, job.id)
@@ -432,70 +436,70 @@
             if job.ended:
                 batch.ended.append(job)
         taken = set(dirty)
-        left = [task for task in self.pool.fresh if task.job not in taken]
+        left = [task for task in self.pool.newly_placed if task.job not in taken]
         batch.starts = [
             (task, task.run, task.worker)
-            for task in self.pool.fresh
+            for task in self.pool.newly_placed
             if task.job in taken and task.worker and task.state is TaskState.PLACED
         ]
-        self.pool.fresh = left
+        self.pool.newly_placed = left
         if not self.pool.dirty:
             batch.acknowledged = [
-                (watch, watch.seen)
-                for watch in self.watches.values()
-                if watch.seen > watch.recorded
+                (session, session.seen)
+                for session in self.watches.values()
+                if session.seen > session.recorded
             ]
         if not batch.writes:
-            self._drop_old(batch, now)
+            self._drop_expired(batch, now)
         return batch
 
-    def _drop_old(self, batch: Batch, now: int) -> None:
+    def _drop_expired(self, batch: Batch, now: int) -> None:
         """Forget jobs that ended long ago: their submission first, then their progress."""
-        sweep = self.intake.sweep
-        for job, at in self.intake.ended.items():
-            if now - at > RETENTION_MS and job not in sweep.removing:
-                sweep.remove(job)
-        for job in sweep.take_removed():
-            self.intake.ended.pop(job, None)
+        cleanup = self.submissions.cleanup
+        for job, at in self.submissions.ended.items():
+            if now - at > RETENTION_MS and job not in cleanup.removing:
+                cleanup.remove(job)
+        for job in cleanup.take_removed():
+            self.submissions.ended.pop(job, None)
             batch.writes.append(Write(progress_key(self.pool.pool, job), None))
 
     def _carry_out(self, batch: Batch) -> None:
         now = now_ms()
         # The commit may have taken long: what was heard meanwhile counts for its orders too.
-        self._note_evacuations()
-        self._note_limits(monotonic())
+        self._update_evacuations()
+        self._update_limits(monotonic())
         self.parts.note_recorded(batch.parts)
         for job in batch.ended:
-            self.intake.ended[job.id] = now
+            self.submissions.ended[job.id] = now
             self.pool.jobs.pop(job.id, None)
-            self._stop_all(job)
-            self.intake.sweep.empty(job.id, job.route, job.account)
-        for watch, number in batch.acknowledged:
-            watch.note_recorded(number)
+            self._stop_tasks(job)
+            self.submissions.cleanup.compact(job.id, job.route, job.account)
+        for session, number in batch.acknowledged:
+            session.note_recorded(number)
         for task, run, worker in batch.starts:
             if worker in self.watches:
                 self.spawn(self.watches[worker].starts.order, task, run)
             elif task.run == run and task.worker == worker:
-                self.pool.free(task)
+                self.pool.requeue(task)
         if self.pool.dirty or self.pool.limits.changed:
             self.wake()
 
     def stop_gang(self, group: StepGroup, run: int) -> None:
         """Stop the other members of a gang, one of which did not start; all start again."""
         for task in group.tasks:
-            watch = self._watch_of(task)
-            if watch is not None and task.run == run:
-                self.spawn(watch.stop, task.name, run, "a member of its gang did not start")
+            session = self._session_of(task)
+            if session is not None and task.run == run:
+                self.spawn(session.stop, task.name, run, "a member of its gang did not start")
 
-    def _stop_all(self, job: Job) -> None:
+    def _stop_tasks(self, job: Job) -> None:
         for task in job.tasks:
-            watch = self._watch_of(task)
-            if watch is not None:
-                self.spawn(watch.stop, task.name, task.run, f"job {job.phase.name.lower()}")
+            session = self._session_of(task)
+            if session is not None:
+                self.spawn(session.stop, task.name, task.run, f"job {job.phase.name.lower()}")
 
     def report(self) -> PoolReport:
         """Tell the other processes about the pool."""
         report = report_pool(self.pool, self.token)
-        self.size.report(report)
+        self.size.fill_report(report)
         report.parts = self.parts.report()
         return report
--- a/pumicespur/jobs/_placement.py
+++ b/pumicespur/jobs/_placement.py
@@ -5,8 +5,12 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from pumicespur.jobs._crashes import admits, count_suspects, is_tried_alone
-from pumicespur.jobs._job import Standing, TaskState
+from pumicespur.jobs._crash_attribution import (
+    count_unproven_suspects,
+    needs_quarantine,
+    quarantine_allows,
+)
+from pumicespur.jobs._job import RunStability, TaskState
 from pumicespur.utils import monotonic
 
 if TYPE_CHECKING:
@@ -14,24 +18,24 @@
 
     from pumicespur.jobs._job import Job, StepGroup, Task
     from pumicespur.jobs._limits import PoolLimits
-    from pumicespur.jobs._load import WorkerLoad
+    from pumicespur.jobs._worker_load import WorkerLoad
     from pumicespur.model import Rack, WorkerId
 
-PATIENT_WAIT_MS = 20_000.0
+PRIORITY_DELAY_MS = 20_000.0
 """Lead that one level of priority gives; work that is later than this goes first all the same."""
 
 
-LATE_WAIT_MS = 10_000.0
+OVERDUE_DELAY_MS = 10_000.0
 """Lead that work gets which can still be in time before work that can't; about a peak's length.
 Without it, a peak makes every job a little late instead of some of them very late."""
 
 
-BEYOND_WAIT_MS = 10_000.0
+OVER_SHARE_DELAY_MS = 10_000.0
 """Lead that other work gets before what an account sends beyond its weight, as before late work:
 a peak's length. After that it goes first all the same, so that it is served."""
 
 
-LATE_SHARE = 1.0
+REMAINING_TIME_RATIO = 1.0
 """Share of the expected rest of a job that must fit before its time; declared and learnt times
 are rough. A peak that outgrows its pool serves the most pressing work first, all of it when its
 time is just about over. With half of the rest, more of it ended late:
@@ -42,24 +46,27 @@
     """Return the groups whose turn has come, the most pressing first."""
     groups = [group for job in jobs if not job.ended for group in job.ready_groups(now_ms)]
     groups = [group for group in groups if group.waiting()]
-    return sorted(groups, key=lambda group: _urgency(group, now_ms))
+    return sorted(groups, key=lambda group: _priority_key(group, now_ms))
 
 
-def _urgency(group: StepGroup, now_ms: float) -> tuple[float, str, int, int]:
+def _priority_key(group: StepGroup, now_ms: float) -> tuple[float, str, int, int]:
     job = group.job
-    deadline = job.deadline_ms + job.priority * PATIENT_WAIT_MS
-    if is_late(group, now_ms):
-        deadline += LATE_WAIT_MS
-    if job.beyond_share:
-        deadline += BEYOND_WAIT_MS
+    deadline = job.deadline_ms + job.priority * PRIORITY_DELAY_MS
+    if is_overdue(group, now_ms):
+        deadline += OVERDUE_DELAY_MS
+    if job.exceeds_share:
+        deadline += OVER_SHARE_DELAY_MS
     return (deadline, job.id, group.repeat, group.number)
 
 
-def is_late(group: StepGroup, now_ms: float) -> bool:
+def is_overdue(group: StepGroup, now_ms: float) -> bool:
     """Whether a job can't be completed in time any more; long-running tasks have no such time."""
     if group.spec.long_running or group.due_ms:
         return False
-    return now_ms + LATE_SHARE * group.job.rest_ms[group.number] > group.job.deadline_ms
+    return (
+        now_ms + REMAINING_TIME_RATIO * group.job.critical_paths_ms[group.number]
+        > group.job.deadline_ms
+    )
 
 
 class Candidates:
@@ -75,35 +82,39 @@
         self.loads = loads
         self.now = now
         specs = [group.spec for group in groups]
-        self.least_cpu = min((0 if s.fills else s.cpu_millis for s in specs), default=0)
-        self.least_memory = min((spec.memory_mb for spec in specs), default=0)
-        self.open = [load for load in loads if load.open(now) and self._has_room(load)]
+        self.min_cpu_millis = min((0 if s.fills else s.cpu_millis for s in specs), default=0)
+        self.min_memory_mb = min((spec.memory_mb for spec in specs), default=0)
+        self.available = [
+            load for load in loads if load.accepts_tasks(now) and self._has_free_capacity(load)
+        ]
 
-    def _has_room(self, load: WorkerLoad) -> bool:
+    def _has_free_capacity(self, load: WorkerLoad) -> bool:
         """Whether the smallest of the waiting tasks may fit."""
         room = load.worker.capacity
         return (
-            load.cpu_millis + self.least_cpu <= room.cpu_millis
-            and load.memory_mb + self.least_memory <= room.memory_mb
+            load.cpu_millis + self.min_cpu_millis <= room.cpu_millis
+            and load.memory_mb + self.min_memory_mb <= room.memory_mb
         )
 
-    def able(self, task: Task) -> list[WorkerLoad]:
+    def eligible_for(self, task: Task) -> list[WorkerLoad]:
         """Return the workers that may be given a task."""
         group = task.group
         spec = group.spec
         found = [
             load
-            for load in self.open
-            if load.fits(spec) and load.allows(group) and admits(load, task, self.now)
+            for load in self.available
+            if load.fits(spec)
+            and load.meets_constraints(group)
+            and quarantine_allows(load, task, self.now)
         ]
         if group.job.advised:
             return [load for load in found if group.ticket(load.worker.id, self.now)]
         return found
 
-    def note_put(self, load: WorkerLoad) -> None:
+    def note_assigned(self, load: WorkerLoad) -> None:
         """Leave a worker out once nothing more can fit."""
-        if not self._has_room(load):
-            self.open.remove(load)
+        if not self._has_free_capacity(load):
+            self.available.remove(load)
 
 
 def place_groups(
@@ -113,7 +124,7 @@
     candidates = Candidates(loads, groups, now)
     placed: list[Task] = []
     for group in groups:
-        if not candidates.open:
+        if not candidates.available:
             break
         placed += _place_group(group, candidates, limits)
     return placed
@@ -123,55 +134,59 @@
     """Choose workers for a group's waiting tasks; gangs are placed whole or not at all."""
     waiting = group.waiting()
     account = group.job.account
-    together = len(group.tasks) if group.spec.gang else 1
-    if len(waiting) < together:
+    batch_size = len(group.tasks) if group.spec.gang else 1
+    if len(waiting) < batch_size:
         return []
     # Once an earlier group of the account has shown that there is room, nobody looks again.
-    blocked = account in limits.lacking
-    if blocked and not limits.allows(account, group.spec, candidates.now, together):
-        limits.note_blocked(account, group.spec, len(waiting), together)
+    blocked = account in limits.blocked_accounts
+    if blocked and not limits.allows(account, group.spec, candidates.now, batch_size):
+        limits.note_blocked(account, group.spec, len(waiting), batch_size)
         return []
     if group.spec.gang:
         return _place_gang(group, candidates, limits)
-    if _goes_to_the_fullest(group) and not any(task.losses for task in waiting):
-        return _fill_up(group, waiting, candidates, limits)
+    if _is_packed(group) and not any(task.losses for task in waiting):
+        return _pack_tasks(group, waiting, candidates, limits)
     placed: list[Task] = []
     for task in waiting:
         load = choose_worker(task, candidates)
-        if load is None and is_tried_alone(task, candidates.now):
+        if load is None and needs_quarantine(task, candidates.now):
             continue
         if load is None:
             break
         if not limits.allows(account, group.spec, candidates.now):
             limits.note_blocked(account, group.spec, len(waiting) - len(placed))
             break
-        _assign(task, load, candidates.now)
-        candidates.note_put(load)
+        _assign_with_ticket(task, load, candidates.now)
+        candidates.note_assigned(load)
         placed.append(task)
     return placed
 
 
-def _goes_to_the_fullest(group: StepGroup) -> bool:
+def _is_packed(group: StepGroup) -> bool:
     spec = group.spec
     return not (spec.fills or spec.long_running or spec.same_rack)
 
 
-def _fill_up(
+def _pack_tasks(
     group: StepGroup, waiting: Sequence[Task], candidates: Candidates, limits: PoolLimits
 ) -> list[Task]:
     """Place tasks that all go to the fullest worker: it stays that until it is full."""
     placed: list[Task] = []
-    able = sorted(candidates.able(waiting[0]), key=lambda load: _fullest_first(group, load))
-    for load in able:
-        while len(placed) < len(waiting) and load.fits(group.spec) and load.allows(group):
+    eligible = sorted(
+        candidates.eligible_for(waiting[0]), key=lambda load: _packing_key(group, load)
+    )
+    for load in eligible:
+        while (
+            len(placed) < len(waiting) and load.fits(group.spec) and load.meets_constraints(group)
+        ):
             if not limits.allows(group.job.account, group.spec, candidates.now):
                 left = len(waiting) - len(placed)
                 limits.note_blocked(group.job.account, group.spec, left)
                 return placed
             task = waiting[len(placed)]
-            _assign(task, load, candidates.now)
+            _assign_with_ticket(task, load, candidates.now)
             placed.append(task)
-        candidates.note_put(load)
+        candidates.note_assigned(load)
         if len(placed) == len(waiting):
             break
     return placed
@@ -188,23 +203,23 @@
         if not limits.allows(group.job.account, group.spec, candidates.now, left):
             limits.note_blocked(group.job.account, group.spec, left, left)
             break
-        _assign(task, load, candidates.now)
-        candidates.note_put(load)
+        _assign_with_ticket(task, load, candidates.now)
+        candidates.note_assigned(load)
         placed.append(task)
     if len(placed) < len(group.tasks):
         for task in placed:
-            take_back(task, candidates.loads)
+            undo_assignment(task, candidates.loads)
         return []
-    share_run(group)
+    align_gang_runs(group)
     return placed
 
 
-def _assign(task: Task, load: WorkerLoad, now: float) -> None:
-    put(task, load)
+def _assign_with_ticket(task: Task, load: WorkerLoad, now: float) -> None:
+    assign(task, load)
     task.ticket = task.group.ticket(load.worker.id, now)
 
 
-def share_run(group: StepGroup) -> None:
+def align_gang_runs(group: StepGroup) -> None:
     """Give all members of a gang the same run number and checkpoint."""
     run = max(task.run for task in group.tasks)
     for task in group.tasks:
@@ -212,13 +227,13 @@
         task.checkpoint = group.gang_checkpoint
 
 
-def put(task: Task, load: WorkerLoad) -> None:
+def assign(task: Task, load: WorkerLoad) -> None:
     """Assign a task to a worker under a new run number."""
     task.state = TaskState.PLACED
     task.run += 1
-    task.standing = Standing.NEW
-    task.on_trial = load.reserved
-    task.trial_asked_at = None
+    task.stability = RunStability.NEW
+    task.quarantined = load.reserved
+    task.quarantine_requested_at = None
     task.worker = load.worker.id
     task.placed_at = monotonic()
     load.add(task)
@@ -226,12 +241,12 @@
         task.group.rack = load.worker.rack
 
 
-def take_back(task: Task, loads: Sequence[WorkerLoad]) -> None:
+def undo_assignment(task: Task, loads: Sequence[WorkerLoad]) -> None:
     """Undo an assignment that was neither recorded nor ordered."""
     for load in loads:
         load.remove(task)
     task.run -= 1
-    task.release()
+    task.mark_waiting()
     if not any(t.worker for t in task.group.tasks):
         task.group.rack = None
 
@@ -240,43 +255,51 @@
     """Pick the best worker for a waiting task, or None if none has room."""
     group = task.group
     spec = group.spec
-    able = candidates.able(task)
-    if not able:
+    eligible = candidates.eligible_for(task)
+    if not eligible:
         return None
     if spec.same_rack:
-        return _in_one_rack(group, able)
+        return _choose_in_rack(group, eligible)
     if spec.long_running:
         racks = Counter(
             load.worker.rack for load in candidates.loads for t in load.tasks if t.group is group
         )
-        return min(able, key=lambda load: (racks[load.worker.rack], load.share(), load.worker.id))
+        return min(
+            eligible, key=lambda load: (racks[load.worker.rack], load.utilization(), load.worker.id)
+        )
     if task.losses:
-        return min(able, key=lambda load: (count_suspects(load), load.share(), load.worker.id))
+        return min(
+            eligible,
+            key=lambda load: (count_unproven_suspects(load), load.utilization(), load.worker.id),
+        )
     if spec.fills:
         # Filling tasks ask for no room of their own and are spread.
-        return min(able, key=lambda load: (_far(group, load), load.share(), load.worker.id))
-    return min(able, key=lambda load: _fullest_first(group, load))
+        return min(
+            eligible,
+            key=lambda load: (_is_far_from_data(group, load), load.utilization(), load.worker.id),
+        )
+    return min(eligible, key=lambda load: _packing_key(group, load))
 
 
-def _fullest_first(group: StepGroup, load: WorkerLoad) -> tuple[bool, float, WorkerId]:
+def _packing_key(group: StepGroup, load: WorkerLoad) -> tuple[bool, float, WorkerId]:
     """Order workers so that whole ones stay idle, which can change pool at once.
 
     Spread evenly, a peak's last tasks kept every one of its instances for seconds.
     """
-    return (_far(group, load), -load.share(), load.worker.id)
+    return (_is_far_from_data(group, load), -load.utilization(), load.worker.id)
 
 
-def _far(group: StepGroup, load: WorkerLoad) -> bool:
+def _is_far_from_data(group: StepGroup, load: WorkerLoad) -> bool:
     return bool(group.spec.data_rack) and load.worker.rack != group.spec.data_rack
 
 
-def _in_one_rack(group: StepGroup, able: list[WorkerLoad]) -> WorkerLoad | None:
+def _choose_in_rack(group: StepGroup, eligible: list[WorkerLoad]) -> WorkerLoad | None:
     """Keep a group in the rack of its first task; the emptiest rack is taken first."""
     if group.rack is not None:
-        able = [load for load in able if load.worker.rack == group.rack]
-        return min(able, key=lambda load: (load.share(), load.worker.id), default=None)
+        eligible = [load for load in eligible if load.worker.rack == group.rack]
+        return min(eligible, key=lambda load: (load.utilization(), load.worker.id), default=None)
     room: Counter[Rack] = Counter()
-    for load in able:
+    for load in eligible:
         room[load.worker.rack] += load.worker.capacity.cpu_millis - load.cpu_millis
     group.rack = max(sorted(room), key=lambda name: (name == group.spec.data_rack, room[name]))
-    return _in_one_rack(group, able)
+    return _choose_in_rack(group, eligible)
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -8,21 +8,21 @@
 
 from logbook import Logger
 
-from pumicespur.jobs._crashes import (
-    TOGETHER_S,
-    blame,
-    forgive,
-    has_new,
-    is_hopeless,
-    reserve_workers,
+from pumicespur.jobs._crash_attribution import (
+    COMMON_CAUSE_WINDOW_S,
+    attribute_crash,
+    exceeds_loss_limit,
+    has_unproven_tasks,
+    reserve_quarantine_workers,
+    withdraw_loss,
 )
 from pumicespur.jobs._describe import explain_failure
-from pumicespur.jobs._estimates import Estimates
+from pumicespur.jobs._estimates import DurationEstimates
+from pumicespur.jobs._fair_share import FairShareMeter
 from pumicespur.jobs._job import TaskState, make_job
 from pumicespur.jobs._limits import PoolLimits
-from pumicespur.jobs._load import WorkerLoad
 from pumicespur.jobs._placement import order_groups, place_groups
-from pumicespur.jobs._shares import ShareMeter
+from pumicespur.jobs._worker_load import WorkerLoad
 from pumicespur.model import JobId, RouteName, RunEnd, TaskName, WorkerId, worker_name
 from pumicespur.schema.jobs_pb import FailureRecord, JobPhase
 from pumicespur.utils import monotonic
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Container, Sequence
 
-    from pumicespur.jobs._job import Job, Loss, Task
+    from pumicespur.jobs._job import Job, Task, WorkerLoss
     from pumicespur.model import (
         AccountId,
         Capacity,
@@ -48,7 +48,7 @@
 RunKey: TypeAlias = tuple[TaskName, int]
 """A task and the number of its run."""
 
-SILENCES_KEPT_S = 30.0
+SILENCE_RETENTION_S = 30.0
 """How long a silence is remembered: longer than the lease of a worker that fell silent with it."""
 
 
@@ -82,15 +82,15 @@
     jobs: dict[JobId, Job] = field(default_factory=dict)
     loads: dict[WorkerId, WorkerLoad] = field(default_factory=dict)
     dirty: set[Job] = field(default_factory=set)
-    fresh: list[Task] = field(default_factory=list)
+    newly_placed: list[Task] = field(default_factory=list)
     """Tasks placed since the last commit."""
     silences: list[Silence] = field(default_factory=list)
-    estimates: Estimates = field(default_factory=Estimates)
+    estimates: DurationEstimates = field(default_factory=DurationEstimates)
     limits: PoolLimits = field(init=False)
     inherited: dict[WorkerId, list[InheritedRun]] = field(default_factory=dict)
     """Runs that earlier owners left behind, as long as they are not counted on their workers."""
-    shares: ShareMeter = field(default_factory=ShareMeter)
-    rooms: set[Capacity] | None = None
+    fair_share: FairShareMeter = field(default_factory=FairShareMeter)
+    capacities: set[Capacity] | None = None
     """The different capacities of the workers; None after a change until they are asked for."""
 
     def __post_init__(self) -> None:
@@ -107,36 +107,36 @@
         job = make_job(record, configuration.routes.get(RouteName(record.route)), self.estimates)
         if progress is not None:
             job.restore(progress)
-            for run in job.left_runs():
-                self.inherit(job.account, run)
+            for run in job.outstanding_runs():
+                self.add_inherited_run(job.account, run)
         account = configuration.accounts.get(job.account)
         if account is not None:
-            job.beyond_share = self.shares.goes_beyond(
+            job.exceeds_share = self.fair_share.exceeds_share(
                 job.account, account.weight, record.accepted_ms
             )
         self.jobs[job.id] = job
         return job
 
-    def inherit(self, account: AccountId, run: LeftRun) -> None:
+    def add_inherited_run(self, account: AccountId, run: LeftRun) -> None:
         """Count a run that an earlier owner left behind."""
         if account:
             inherited = InheritedRun(account, run)
             self.inherited.setdefault(WorkerId(run.worker), []).append(inherited)
-            self.limits.use.add(account, run, 1)
+            self.limits.usage.add(account, run, 1)
 
     def adopt_inherited(self, load: WorkerLoad) -> None:
         """Leave the runs that are counted on their worker now to it."""
         counted = {(task.name, task.run) for task in load.tasks}
         left = [run.key for run in self.inherited.get(load.worker.id, ())]
-        self.settle_inherited(load.worker.id, {key for key in left if key not in counted})
+        self.resolve_inherited(load.worker.id, {key for key in left if key not in counted})
 
-    def settle_inherited(self, worker: WorkerId, keep: Container[RunKey] = ()) -> None:
+    def resolve_inherited(self, worker: WorkerId, keep: Container[RunKey] = ()) -> None:
         """Count a worker's inherited runs no longer, but for those that are still going on."""
         left = self.inherited.pop(worker, [])
         still = [run for run in left if run.key in keep]
         for run in left:
             if run not in still:
-                self.limits.use.add(run.account, run.record, -1)
+                self.limits.usage.add(run.account, run.record, -1)
         if still:
             self.inherited[worker] = still
 
@@ -146,7 +146,7 @@
             job.phase = JobPhase.CANCELLED
             self.dirty.add(job)
 
-    def task(self, name: TaskName) -> Task | None:
+    def find_task(self, name: TaskName) -> Task | None:
         """Find a task of a job that has not ended."""
         job = self.jobs.get(JobId(name.partition(".")[0]))
         return None if job is None else job.by_name.get(name)
@@ -155,11 +155,11 @@
         """Count a worker, or take its newest description."""
         load = self.loads.get(worker.id)
         if load is None:
-            load = WorkerLoad(worker, self.limits.use)
+            load = WorkerLoad(worker, self.limits.usage)
             self.loads[worker.id] = load
-            self.rooms = None
+            self.capacities = None
         if load.worker.capacity != worker.capacity:
-            self.rooms = None
+            self.capacities = None
         load.worker = worker
         load.listed = True
         if worker.leaves_in_s is not None and load.leaves_at is None:
@@ -176,27 +176,27 @@
         Tasks to `keep` stay assigned to it: the worker may have begun them in its next life.
         """
         load = self.loads.pop(worker, None)
-        self.rooms = None
+        self.capacities = None
         for job in self.jobs.values():
             lost = [task for task in job.tasks if task.worker == worker and task not in keep]
             if not lost or job.ended:
                 continue
             for task in lost:
-                task.release()
+                task.mark_waiting()
             self.dirty.add(job)
         if load is not None:
             for task in list(load.tasks):
                 load.remove(task)
-        self.settle_inherited(worker)
+        self.resolve_inherited(worker)
 
     def note_silence(self, load: WorkerLoad, now: float) -> None:
         """Note that a worker stopped answering."""
         load.silent_at = now
-        self.silences = [s for s in self.silences if now - s.at < SILENCES_KEPT_S]
-        if not has_new(load) and not load.leaving:
+        self.silences = [s for s in self.silences if now - s.at < SILENCE_RETENTION_S]
+        if not has_unproven_tasks(load) and not load.leaving:
             self.silences.append(Silence(load.worker.id, load.worker.rack, now))
 
-    def lose_runs(
+    def note_lost_runs(
         self, load: WorkerLoad, pending: Collection[Task] = (), *, ended: bool = True
     ) -> list[Task]:
         """Note that a worker's runs are lost; return the tasks that may be the cause.
@@ -206,17 +206,17 @@
         together = any(
             silence.worker != load.worker.id
             and silence.rack == load.worker.rack
-            and abs(silence.at - load.silent_at) <= TOGETHER_S
+            and abs(silence.at - load.silent_at) <= COMMON_CAUSE_WINDOW_S
             for silence in self.silences
         )
-        blamed = blame(load, pending, single=ended and not together)
+        blamed = attribute_crash(load, pending, single=ended and not together)
         for task in blamed:
-            self._weigh_losses(task)
+            self._check_losses(task)
         return blamed
 
-    def forgive_task(self, task: Task, worker: WorkerId) -> None:
+    def retract_loss(self, task: Task, worker: WorkerId) -> None:
         """Take back the loss of a worker with a task that turned out to run elsewhere."""
-        forgive([task], worker)
+        withdraw_loss([task], worker)
         self.dirty.add(task.job)
 
     def assigned_tasks(self) -> dict[WorkerName, list[Task]]:
@@ -235,23 +235,23 @@
         tasks = (task for job in self.jobs.values() for task in job.tasks)
         return {loss.worker for task in tasks for loss in task.losses}
 
-    def lose_run(self, task: Task, loss: Loss) -> None:
+    def note_lost_run(self, task: Task, loss: WorkerLoss) -> None:
         """Note the loss of a worker with a task of which it is not known whether it began there."""
         if task.job.ended or task.state is TaskState.DONE:
             return
         task.losses.append(loss)
-        self._weigh_losses(task)
+        self._check_losses(task)
 
-    def _weigh_losses(self, task: Task) -> None:
+    def _check_losses(self, task: Task) -> None:
         """Record a task's losses; give its job up if there are too many."""
         self.dirty.add(task.job)
-        if is_hopeless(task) and not task.job.ended:
+        if exceeds_loss_limit(task) and not task.job.ended:
             self._give_up(task, [loss.worker for loss in task.losses])
 
-    def forgive_loss(self, load: WorkerLoad) -> None:
+    def retract_losses(self, load: WorkerLoad) -> None:
         """Take back the loss of a worker that answers again."""
         tasks = (task for job in self.jobs.values() if not job.ended for task in job.tasks)
-        self.dirty.update(task.job for task in forgive(tasks, load.worker.id))
+        self.dirty.update(task.job for task in withdraw_loss(tasks, load.worker.id))
 
     def _give_up(self, task: Task, lost_workers: Sequence[WorkerId] = ()) -> None:
         failure = FailureRecord(
@@ -267,27 +267,27 @@
             workers=list(lost_workers),
         )
 
-    def free(self, task: Task, checkpoint: str = "") -> None:
+    def requeue(self, task: Task, checkpoint: str = "") -> None:
         """Let a task wait again after its run is known to be over."""
         load = self.load_of(task)
         if load is not None:
             load.remove(task)
-        task.release(checkpoint)
-        if task.spec.long_running and task.away_since is None:
-            task.away_since = monotonic()
+        task.mark_waiting(checkpoint)
+        if task.spec.long_running and task.unavailable_since is None:
+            task.unavailable_since = monotonic()
         if not task.job.ended:
             self.dirty.add(task.job)
 
     def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
         """Take in a run's end as its worker listed it."""
-        task = self.task(end.task)
+        task = self.find_task(end.task)
         if task is None or task.job.ended or task.state is TaskState.DONE:
             return
         newest = task.run == end.run and task.worker == worker
         if end.how is RunEnd.DONE:
             if newest and task.state is TaskState.RUNNING and task.started_at:
-                taken_ms = (now - task.started_at) * 1000
-                self.estimates.note(task.job.route, task.spec.estimated_ms, taken_ms)
+                actual_ms = (now - task.started_at) * 1000
+                self.estimates.note(task.job.route, task.spec.estimated_ms, actual_ms)
             self._finish(task, worker)
         elif newest:
             self._fail(task, end)
@@ -312,7 +312,7 @@
             self._count_failure(task, end.run)
         if task.spec.gang and end.checkpoint:
             task.group.gang_checkpoint = end.checkpoint
-        self.free(task, end.checkpoint)
+        self.requeue(task, end.checkpoint)
 
     def _count_failure(self, task: Task, run: int) -> None:
         """Count a failed run; the job fails with the last attempt."""
@@ -330,14 +330,14 @@
         """Choose workers for waiting tasks whose turn has come."""
         loads = list(self.loads.values())
         groups = order_groups(self.jobs.values(), now_ms)
-        reserve_workers(groups, loads, now)
+        reserve_quarantine_workers(groups, loads, now)
         self.limits.begin_round()
         placed = place_groups(groups, loads, self.limits, now)
         for task in placed:
             self.dirty.add(task.job)
             if task.job.phase is JobPhase.QUEUED:
                 task.job.phase = JobPhase.RUNNING
-        self.fresh += placed
+        self.newly_placed += placed
         return placed
 
     def waiting_by_route(self) -> Counter[RouteName]:
@@ -346,14 +346,14 @@
 
     def fits_anywhere(self, spec: StepRecord) -> bool:
         """Whether some worker, were it empty, could carry a task; true while none is known."""
-        if self.rooms is None:
-            self.rooms = {load.worker.capacity for load in self.loads.values()}
-        return not self.rooms or any(
+        if self.capacities is None:
+            self.capacities = {load.worker.capacity for load in self.loads.values()}
+        return not self.capacities or any(
             spec.cpu_millis <= room.cpu_millis and spec.memory_mb <= room.memory_mb
-            for room in self.rooms
+            for room in self.capacities
         )
 
-    def waiting_tasks(self, now_ms: float) -> int:
+    def count_waiting_tasks(self, now_ms: float) -> int:
         """Count the tasks whose turn has come, that wait and that some worker could carry."""
         return sum(
             len(group.waiting())
--- a/pumicespur/jobs/_reports.py
+++ b/pumicespur/jobs/_pool_report.py
@@ -8,8 +8,8 @@
 from pumicespur.utils import monotonic
 
 if TYPE_CHECKING:
-    from pumicespur.jobs._load import WorkerLoad
     from pumicespur.jobs._pool import PoolState
+    from pumicespur.jobs._worker_load import WorkerLoad
 
 
 def report_pool(pool: PoolState, token: int) -> PoolReport:
@@ -23,14 +23,14 @@
 
 
 def _report_worker(load: WorkerLoad) -> WorkerReport:
-    load.told_tasks = len(load.tasks)
-    if load.wanted_empty:
-        load.told_empty_at = monotonic()
+    load.reported_tasks = len(load.tasks)
+    if load.evacuation_requested:
+        load.evacuation_reported_at = monotonic()
     held = sum(1 for task in load.tasks if task.spec.long_running and not task.job.ended)
     return WorkerReport(
         worker=load.worker.name,
         tasks=len(load.tasks),
         held_tasks=held,
         reachable=load.reachable,
-        evacuating=load.wanted_empty,
+        evacuating=load.evacuation_requested,
     )
--- a/pumicespur/jobs/_service.py
+++ b/pumicespur/jobs/_service.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 from logbook import Logger
 
-from pumicespur.jobs._access import is_there_for
+from pumicespur.jobs._access import is_visible_to
 from pumicespur.jobs._job import ENDED_PHASES
 from pumicespur.jobs._keys import progress_key, submission_key
 from pumicespur.model import AccountId, Cancellation, JobId, Submission
@@ -26,10 +26,10 @@
 
 log = Logger(__name__)
 
-RETRY_S = 0.03
+RETRY_DELAY_S = 0.03
 """First pause before a call to the store is repeated; some of its usual answers."""
 
-MAX_RETRY_S = 0.4
+MAX_RETRY_DELAY_S = 0.4
 """Longest such pause."""
 
 
@@ -46,12 +46,12 @@
     async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
         """Record a job; the same id recorded before counts as accepted.
 
-        `give_up_at` is the monotonic time by which the caller needs an answer.
+        `give_up_at` is the monotonic time by which the caller needs an response.
         """
         with anyio.CancelScope(deadline=give_up_at):
             return await self._submit(route, record, give_up_at)
         # The store may hold the call that was broken off.
-        return self._give_up(route, JobId(record.id), True, AnswerLost("no answer in time"))
+        return self._refuse(route, JobId(record.id), True, AnswerLost("no response in time"))
 
     async def _submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
         pool = route.pool
@@ -63,26 +63,26 @@
             if found.is_error():
                 return Submission.NOT_TAKEN
             if found.ok is not None:
-                return _repeat(route, record, found.ok)
+                return _resubmission_outcome(route, record, found.ok)
         lost = False
-        pause_s = RETRY_S
+        pause_s = RETRY_DELAY_S
         while True:
-            answer = await self.table.transact(transaction)
-            match answer:
+            response = await self.table.transact(transaction)
+            match response:
                 case Result(tag="ok", ok=version):
                     log.info("job accepted", job=job, route=route.name, pool=pool, version=version)
                     return Submission.ACCEPTED
                 case Result(error=Conflict(rows=rows)):
                     known = [JobRecord.from_binary(row.value) for row in rows if row.key == key]
-                    return _repeat(route, record, *known)
-                case Result(error=fault):
-                    lost = lost or isinstance(fault, AnswerLost)
+                    return _resubmission_outcome(route, record, *known)
+                case Result(error=error):
+                    lost = lost or isinstance(error, AnswerLost)
                     if monotonic() + pause_s >= give_up_at:
-                        return self._give_up(route, job, lost, fault)
+                        return self._refuse(route, job, lost, error)
             await anyio.sleep(pause_s * random.uniform(0.5, 1.0))
-            pause_s = min(MAX_RETRY_S, pause_s * 2)
+            pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
 
-    def _give_up(self, route: Route, job: JobId, lost: bool, fault: Fault) -> Submission:
+    def _refuse(self, route: Route, job: JobId, lost: bool, error: Fault) -> Submission:
         outcome = Submission.UNKNOWN if lost else Submission.NOT_TAKEN
         log.warning(
             "job refused",
@@ -90,7 +90,7 @@
             route=route.name,
             pool=route.pool,
             outcome=outcome.value,
-            reason=str(fault),
+            reason=str(error),
         )
         return outcome
 
@@ -103,11 +103,11 @@
             return found.map(
                 lambda known: (
                     None
-                    if known is None or not is_there_for(caller, route, known[1])
+                    if known is None or not is_visible_to(caller, route, known[1])
                     else known[1].phase
                 )
             )
-        return Error(AnswerLost("no answer in time"))
+        return Error(AnswerLost("no response in time"))
 
     async def find(
         self, pools: Sequence[PoolId], job: JobId, give_up_at: float
@@ -119,8 +119,8 @@
                 case Result(tag="ok", ok=progress):
                     if progress is not None:
                         return Ok((pool, progress))
-                case Result(error=fault):
-                    return Error(fault)
+                case Result(error=error):
+                    return Error(error)
         return Ok(None)
 
     async def _find(
@@ -133,8 +133,8 @@
             match progress:
                 case Result(tag="ok", ok=row) if row.version:
                     return Ok(ProgressRecord.from_binary(row.value))
-                case Result(error=fault):
-                    return Error(fault)
+                case Result(error=error):
+                    return Error(error)
             submission = await self._read(submission_key(pool, job), give_up_at)
             match submission:
                 case Result(tag="ok", ok=row) if row.version:
@@ -144,8 +144,8 @@
                             phase=JobPhase.QUEUED, route=record.route, account=record.account
                         )
                     )
-                case Result(error=fault):
-                    return Error(fault)
+                case Result(error=error):
+                    return Error(error)
         return Ok(None)
 
     async def cancel(
@@ -173,17 +173,17 @@
             found = await self._read(key, give_up_at)
             match found:
                 case Result(tag="ok", ok=row) if row.version and not _has_ended(row):
-                    if not is_there_for(caller, route, JobRecord.from_binary(row.value)):
+                    if not is_visible_to(caller, route, JobRecord.from_binary(row.value)):
                         return Cancellation.NO_SUCH_JOB
-                    answer = await self._write_cancellation(row)
-                    if answer.is_ok():
-                        log.info("job cancelled", job=job, route=route.name, version=answer.ok)
+                    response = await self._write_cancellation(row)
+                    if response.is_ok():
+                        log.info("job cancelled", job=job, route=route.name, version=response.ok)
                         return Cancellation.DONE
                 case Result(tag="ok"):
                     return await self._cancel_missing(pool, route, caller, job, give_up_at)
-            if monotonic() + MAX_RETRY_S >= give_up_at:
+            if monotonic() + MAX_RETRY_DELAY_S >= give_up_at:
                 return Cancellation.UNKNOWN
-            await anyio.sleep(RETRY_S * random.uniform(0.5, 1.0))
+            await anyio.sleep(RETRY_DELAY_S * random.uniform(0.5, 1.0))
 
     async def _write_cancellation(self, row: Row) -> Result[int, Fault]:
         record = JobRecord.from_binary(row.value)
@@ -202,7 +202,7 @@
         match found:
             case Result(tag="ok", ok=row) if row.version:
                 progress = ProgressRecord.from_binary(row.value)
-                if not is_there_for(caller, route, progress):
+                if not is_visible_to(caller, route, progress):
                     return Cancellation.NO_SUCH_JOB
                 if progress.phase is JobPhase.CANCELLED:
                     return Cancellation.DONE
@@ -214,22 +214,24 @@
                 return Cancellation.UNKNOWN
 
     async def _read(self, key: str, give_up_at: float) -> Result[Row, Fault]:
-        pause_s = RETRY_S
+        pause_s = RETRY_DELAY_S
         while True:
-            answer = await self.table.read(key)
-            match answer:
+            response = await self.table.read(key)
+            match response:
                 case Result(tag="ok"):
-                    return answer
-                case Result(error=fault) if monotonic() + pause_s >= give_up_at:
-                    return Error(fault)
+                    return response
+                case Result(error=error) if monotonic() + pause_s >= give_up_at:
+                    return Error(error)
             await anyio.sleep(pause_s * random.uniform(0.5, 1.0))
-            pause_s = min(MAX_RETRY_S, pause_s * 2)
+            pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
 
 
-def _repeat(route: Route, record: JobRecord, *known: JobRecord | ProgressRecord) -> Submission:
+def _resubmission_outcome(
+    route: Route, record: JobRecord, *known: JobRecord | ProgressRecord
+) -> Submission:
     """Answer for an id that is recorded already: the same job again, if it is the caller's."""
     caller = AccountId(record.account)
-    if not all(is_there_for(caller, route, job) for job in known):
+    if not all(is_visible_to(caller, route, job) for job in known):
         log.warning("job refused", job=record.id, route=route.name, reason="id of another account")
         return Submission.FOREIGN
     log.info("job accepted", job=record.id, route=route.name, repeat=True)
--- a/pumicespur/jobs/_holding.py
+++ b/pumicespur/jobs/_session_owner.py
@@ -8,14 +8,14 @@
     from collections.abc import Callable, Coroutine
 
     from pumicespur.config import NodeSettings
-    from pumicespur.jobs._beliefs import Beliefs
     from pumicespur.jobs._job import StepGroup
+    from pumicespur.jobs._known_state import KnownState
     from pumicespur.jobs._pool import PoolState, RunKey
     from pumicespur.model import TaskEnd, WorkerId
     from pumicespur.platform import WorkerOrders
 
 
-class PoolHolder(Protocol):
+class SessionOwner(Protocol):
     """The owner of a pool, as its workers' tasks see it."""
 
     settings: NodeSettings
@@ -23,10 +23,10 @@
     orders: WorkerOrders
     token: int
 
-    def beliefs(self) -> Beliefs:
+    def known_state(self) -> KnownState:
         """Return what is known at present of what orders rest on."""
 
-    def may_extend(self, now: float) -> bool:
+    def may_renew_leases(self, now: float) -> bool:
         """Whether leases may still be extended."""
 
     def wake(self) -> None:
@@ -47,7 +47,7 @@
         `leased` tells that a deadline meant for it may have reached the next one.
         """
 
-    def note_barred(self, worker: WorkerId, run: RunKey) -> None:
+    def note_revoked(self, worker: WorkerId, run: RunKey) -> None:
         """Note that a worker was told to refuse a run whose start may still be done late."""
 
     def forget(self, worker: WorkerId) -> None:
--- a/pumicespur/jobs/_stops.py
+++ b/pumicespur/jobs/_stops.py
@@ -11,18 +11,18 @@
     from collections.abc import Collection
 
     from pumicespur.jobs._job import Task
-    from pumicespur.jobs._load import WorkerLoad
     from pumicespur.jobs._pool import PoolState
+    from pumicespur.jobs._worker_load import WorkerLoad
     from pumicespur.model import TaskName
 
-STALL_S = 2.0
+MIN_STALL_TIMEOUT_S = 2.0
 """Time without a percent of progress after which a short task stands still: two looks and a
 half, while sound tasks of a second or two gain a percent in a fiftieth of a second."""
 
-STALL_SHARE = 0.1
+STALL_TIMEOUT_RATIO = 0.1
 """Share of a task's estimate that it may take for one percent; estimates are far off."""
 
-STOP_AGAIN_S = 0.4
+STOP_RETRY_DELAY_S = 0.4
 """Time after which a stop that shows no effect is sent again."""
 
 
@@ -30,13 +30,13 @@
     """Tell whether a task has made no progress for longer than any sound one would."""
     if task.state is not TaskState.RUNNING or task.job.ended or task.spec.long_running:
         return False
-    if now - task.stop_sent_at < STOP_AGAIN_S:
+    if now - task.stop_sent_at < STOP_RETRY_DELAY_S:
         return False
-    patience_s = max(STALL_S, STALL_SHARE * task.spec.estimated_ms / 1000)
+    patience_s = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_RATIO * task.spec.estimated_ms / 1000)
     return now - task.progressed_at > patience_s
 
 
-def stop_stalled(load: WorkerLoad, now: float) -> list[Task]:
+def mark_stalled(load: WorkerLoad, now: float) -> list[Task]:
     """Choose tasks that stand still, so that they go on elsewhere from their checkpoint."""
     chosen = [
         task for task in load.tasks if task.worker == load.worker.id and is_stalled(task, now)
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class ForeignRuns:
+class UnwantedRuns:
     """Runs on one worker that should not be there: cancelled, failed or replaced ones."""
 
     stops: dict[tuple[TaskName, int], float] = field(default_factory=dict)
@@ -65,10 +65,10 @@
         """Choose runs to stop; a stop that shows no effect is ordered again after a while."""
         chosen = []
         for name, run in running:
-            task = pool.task(name)
-            if task is not None and task.wants(load.worker.id, run):
+            task = pool.find_task(name)
+            if task is not None and task.is_current_run(load.worker.id, run):
                 continue
-            if now - self.stops.get((name, run), float("-inf")) < STOP_AGAIN_S:
+            if now - self.stops.get((name, run), float("-inf")) < STOP_RETRY_DELAY_S:
                 continue
             self.stops[name, run] = now
             chosen.append((name, run))
--- a/pumicespur/jobs/_sweep.py
+++ b/pumicespur/jobs/_submission_cleanup.py
@@ -19,19 +19,19 @@
 
 log = Logger(__name__)
 
-SWEEP_S = 3.0
+CLEANUP_INTERVAL_S = 3.0
 """Pause between sweeps; nobody waits for one, a successor finds the ends in the progress."""
 
-WRITES_PER_CALL = 90
+MAX_ROWS_PER_CALL = 90
 """Rows in one call; the store takes 100."""
 
-QUICK_S = 0.1
+MAX_RESPONSE_TIME_S = 0.1
 """Answer time of the store above which a sweep waits: it serves the writes of one part in turn,
 and callers wait behind. With a store some 50 times slower than usual, sweeping less and in more
 parts took the jobs that callers gave up from 5.5% to 3.4% of a minute's (one day, two runs)."""
 
 
-class SubmissionSweep:
+class SubmissionCleanup:
     """Remembers what may go, and writes it part by part."""
 
     def __init__(self, pool: PoolId, table: PlatformTable) -> None:
@@ -45,7 +45,7 @@
         """Those of them whose submission is known to be gone. Only then may the progress go,
         which alone tells a successor that the job has ended."""
 
-    def empty(self, job: JobId, route: RouteName, account: AccountId) -> None:
+    def compact(self, job: JobId, route: RouteName, account: AccountId) -> None:
         """Drop what is no longer needed of a job whose end is recorded; its id stays taken.
 
         Whose it was is kept, so that another account can't use the id. A removal that is pending
@@ -62,27 +62,27 @@
 
     def take_removed(self) -> list[JobId]:
         """Return jobs whose progress may go now; they are forgotten here."""
-        removed, self.removed = self.removed[:WRITES_PER_CALL], self.removed[WRITES_PER_CALL:]
+        removed, self.removed = self.removed[:MAX_ROWS_PER_CALL], self.removed[MAX_ROWS_PER_CALL:]
         self.removing.difference_update(removed)
         return removed
 
     async def run(self) -> None:
         """Sweep again and again until cancelled."""
         while True:
-            await anyio.sleep(SWEEP_S)
-            if self.table.times.worst_s(monotonic()) < QUICK_S:
-                await self.sweep()
+            await anyio.sleep(CLEANUP_INTERVAL_S)
+            if self.table.times.worst_s(monotonic()) < MAX_RESPONSE_TIME_S:
+                await self.clean_up()
 
-    async def sweep(self) -> None:
+    async def clean_up(self) -> None:
         """Write what is pending; what is not confirmed stays for the next sweep."""
         parts: defaultdict[str, list[tuple[JobId, Write]]] = defaultdict(list)
         for job, write in self.pending.items():
             parts[write.key.rpartition("/")[0]].append((job, write))
         for part, entries in parts.items():
-            chosen = entries[:WRITES_PER_CALL]
-            answer = await self.table.transact(Transaction([], [write for _, write in chosen]))
-            if answer.is_error():
-                log.info("submissions not swept", part=part, reason=str(answer.error))
+            chosen = entries[:MAX_ROWS_PER_CALL]
+            response = await self.table.transact(Transaction([], [write for _, write in chosen]))
+            if response.is_error():
+                log.info("submissions not swept", part=part, reason=str(response.error))
                 return
             for job, write in chosen:
                 self._confirm(job, write)
--- a/pumicespur/jobs/_intake.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -9,10 +9,10 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.jobs._beliefs import submissions_max_age_s
 from pumicespur.jobs._job import ENDED_PHASES
 from pumicespur.jobs._keys import submission_parts, submissions_table
-from pumicespur.jobs._sweep import SubmissionSweep
+from pumicespur.jobs._known_state import submissions_max_age_s
+from pumicespur.jobs._submission_cleanup import SubmissionCleanup
 from pumicespur.model import AccountId, JobId, RouteName
 from pumicespur.schema.jobs_pb import JobRecord, ProgressRecord
 from pumicespur.store import AnswerLost, HistoryGone, Page, Reading, Row
@@ -29,16 +29,16 @@
 
 log = Logger(__name__)
 
-RETRY_S = 0.2
-"""Pause after a fault of the store outside commits."""
+RETRY_DELAY_S = 0.2
+"""Pause after a error of the store outside commits."""
 
-WATCH_S = 0.25
+MAX_WATCH_S = 0.25
 """Longest wait for new submissions in one request. A request that the store has forgotten hears
 nothing; each second of that is as much of the callers' latency objective. The submissions are then
 read themselves, since the jobs that wait unheard make those behind them late as well."""
 
 
-class JobIntake:
+class SubmissionFollower:
     """Takes jobs into a pool's state."""
 
     def __init__(
@@ -53,7 +53,7 @@
         self.pool = pool
         self.table = table
         self.view = view
-        self.watch_s = min(settings.store.watch_s, WATCH_S)
+        self.watch_s = min(settings.store.watch_s, MAX_WATCH_S)
         """Longest wait for changes in one request, in seconds."""
         self.max_age_s = submissions_max_age_s(settings.workers)
         """Age of what is known at which it is of no use for starts any more, in seconds."""
@@ -62,7 +62,7 @@
         self.note_arrival = note_arrival
         self.ended: dict[JobId, int] = {}
         """Jobs that have ended, by the time of day in milliseconds."""
-        self.sweep = SubmissionSweep(pool.pool, table)
+        self.cleanup = SubmissionCleanup(pool.pool, table)
         self.reading = Reading()
         """How far the submissions are known."""
 
@@ -77,9 +77,9 @@
             if record.phase in ENDED_PHASES:
                 self.ended[job] = record.changed_ms
                 for run in record.left:
-                    self.pool.inherit(AccountId(record.account), run)
-        for submitted, version in self._submitted(await self._read_all()):
-            self._take(submitted, version, progress)
+                    self.pool.add_inherited_run(AccountId(record.account), run)
+        for submitted, version in self._parse_submissions(await self._read_all()):
+            self._apply(submitted, version, progress)
 
     async def _read_all(self) -> list[Row]:
         """Read all submissions; changes are followed from the oldest page on."""
@@ -99,24 +99,26 @@
 
     async def _retry(self, call: Callable[[], Awaitable[Result[Any, Any]]]) -> Any:
         while True:
-            answer = await call()
-            match answer:
+            response = await call()
+            match response:
                 case Result(tag="ok", ok=value):
                     return value
-                case Result(error=fault):
-                    log.warning("store not read", pool=self.pool.pool, reason=str(fault))
-                    await anyio.sleep(RETRY_S)
+                case Result(error=error):
+                    log.warning("store not read", pool=self.pool.pool, reason=str(error))
+                    await anyio.sleep(RETRY_DELAY_S)
 
-    def _submitted(self, rows: list[Row]) -> list[tuple[JobRecord, int]]:
+    def _parse_submissions(self, rows: list[Row]) -> list[tuple[JobRecord, int]]:
         """Return jobs with their rows' versions, in the order in which they were handed in."""
         found = [(JobRecord.from_binary(row.value), row.version) for row in rows if row.version]
         return sorted(found, key=lambda entry: entry[0].accepted_ms)
 
-    def _take(self, record: JobRecord, version: int, progress: dict[str, ProgressRecord]) -> None:
+    def _apply(self, record: JobRecord, version: int, progress: dict[str, ProgressRecord]) -> None:
         if record.ended:
             return
         if JobId(record.id) in self.ended:
-            self.sweep.empty(JobId(record.id), RouteName(record.route), AccountId(record.account))
+            self.cleanup.compact(
+                JobId(record.id), RouteName(record.route), AccountId(record.account)
+            )
             return
         job = self.pool.add_job(record, self.view.configuration, progress.get(record.id))
         if job is not None:
@@ -144,8 +146,10 @@
             asked_at = monotonic()
             useful_s = max(0.0, self.max_age_s - self.watch_s)
             patience_s = min(self.table.times.patience_s(asked_at), useful_s)
-            answer = await self.table.changes(table, self.reading.version, self.watch_s, patience_s)
-            match answer:
+            response = await self.table.changes(
+                table, self.reading.version, self.watch_s, patience_s
+            )
+            match response:
                 case Result(tag="ok", ok=page):
                     proved_at = asked_at if page.complete else self.reading.asked_at
                     self.reading = Reading(page.version, proved_at)
@@ -156,9 +160,9 @@
                 case Result(error=AnswerLost()) if self.table.answers():
                     log.info("submissions read anew", pool=pool, reason="no word of changes")
                     rows = await self._read_all()
-                case Result(error=fault):
-                    log.warning("submissions not followed", pool=pool, reason=str(fault))
-                    await anyio.sleep(RETRY_S)
+                case Result(error=error):
+                    log.warning("submissions not followed", pool=pool, reason=str(error))
+                    await anyio.sleep(RETRY_DELAY_S)
                     continue
-            for record, version in self._submitted(rows):
-                self._take(record, version, {})
+            for record, version in self._parse_submissions(rows):
+                self._apply(record, version, {})
--- a/pumicespur/jobs/_starts.py
+++ b/pumicespur/jobs/_unconfirmed_starts.py
@@ -23,30 +23,30 @@
 
 
 @dataclass
-class UnansweredStart:
+class UnresolvedStart:
     """A start of which it is not known whether the worker took it."""
 
     run: int
     since: float
     """When its call was given up (monotonic seconds); only accounts asked for later tell."""
-    barred_at: float | None = None
+    revoked_at: float | None = None
     """When a run that had not begun was known to be kept from it (monotonic seconds)."""
-    meant_for: WorkerId | None = None
+    ordered_to: WorkerId | None = None
     """The earlier life that it was ordered to, if it was not this one."""
 
 
 @dataclass
-class OpenStarts:
+class UnconfirmedStarts:
     """Starts that were ordered and that no account of the life has told of yet."""
 
     tasks: set[Task] = field(default_factory=set)
 
-    def note_account(self, worker: WorkerId, running: Container[RunKey]) -> None:
+    def remove_confirmed(self, worker: WorkerId, running: Container[RunKey]) -> None:
         """Take out what the worker lists as running, and what has ended or is ordered no more."""
         self.tasks = {
             task
             for task in self.tasks
-            if task.wants(worker, task.run)
+            if task.is_current_run(worker, task.run)
             and task.state in ORDERED
             and (task.name, task.run) not in running
         }
--- a/pumicespur/jobs/_load.py
+++ b/pumicespur/jobs/_worker_load.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from pumicespur.jobs._account_use import AccountUse
+from pumicespur.jobs._account_usage import AccountUsage
 from pumicespur.model import InstanceId, WorkerState
 
 if TYPE_CHECKING:
@@ -13,13 +13,13 @@
     from pumicespur.model import Worker
     from pumicespur.schema.jobs_pb import StepRecord
 
-EJECT_AFTER = 3
+MIN_EJECT_FAILURES = 3
 """Failures in a row before a worker is left out; single failures are the tasks' own."""
 
-EJECT_S = 2.0
+MIN_EJECT_S = 2.0
 """First time for which a failing worker is left out; it doubles with each further time."""
 
-ACTED_ON_S = 6.0
+REPORT_VALIDITY_S = 6.0
 """Time for which the fleet's holder may act on a report: the report's age, the holder's proof of
 its duty, the time-out of its order, and a heartbeat."""
 
@@ -32,15 +32,15 @@
     """One worker as its pool's owner counts it."""
 
     worker: Worker
-    use: AccountUse = field(default_factory=AccountUse)
+    usage: AccountUsage = field(default_factory=AccountUsage)
     """What accounts have running in the pool."""
     tasks: set[Task] = field(default_factory=set)
-    suspects: set[Task] = field(default_factory=set)
+    suspected_tasks: set[Task] = field(default_factory=set)
     """Those of its tasks that may have brought an earlier worker down."""
-    unknown_runs: bool = False
+    has_unknown_runs: bool = False
     """It carries runs that take room and are not counted here; they are being stopped."""
     reserved: bool = False
-    """It gets no new tasks but one suspect, see `_crashes`."""
+    """It gets no new tasks but one suspect, see `_crash_attribution`."""
     silent_at: float = 0.0
     """Monotonic time at which it last stopped answering, in seconds."""
     cpu_millis: int = 0
@@ -52,17 +52,17 @@
     """Whether it answered the last call."""
     evacuating: bool = False
     """It is kept empty for the fleet's holder."""
-    wanted_empty: bool = False
+    evacuation_requested: bool = False
     """The holder was heard of lately, and wants it emptied."""
-    told_empty_at: float = float("-inf")
+    evacuation_reported_at: float = float("-inf")
     """Monotonic time at which a report last told the holder so."""
-    told_tasks: int = 0
+    reported_tasks: int = 0
     """Tasks that the last report told of."""
-    paced_at: float = 0.0
+    throttled_at: float = 0.0
     """Monotonic time of the last change of pace of its filling tasks."""
     leaves_at: float | None = None
     """Monotonic time at which the worker may be gone, if it said so."""
-    avoid_until: float = 0.0
+    paused_until: float = 0.0
     """Monotonic time until which it gets no new tasks, in seconds."""
     failures: int = 0
     ejections: int = 0
@@ -73,7 +73,7 @@
             return
         self.tasks.add(task)
         if task.losses:
-            self.suspects.add(task)
+            self.suspected_tasks.add(task)
         self._count(task, 1)
 
     def remove(self, task: Task) -> None:
@@ -81,12 +81,12 @@
         if task not in self.tasks:
             return
         self.tasks.remove(task)
-        self.suspects.discard(task)
+        self.suspected_tasks.discard(task)
         self._count(task, -1)
 
     def _count(self, task: Task, sign: int) -> None:
         spec = task.spec
-        self.use.add(task.job.account, spec, sign)
+        self.usage.add(task.job.account, spec, sign)
         if not spec.fills:
             self.cpu_millis += sign * spec.cpu_millis
         self.memory_mb += sign * spec.memory_mb
@@ -97,14 +97,14 @@
         """Return what the worker runs on; its own id where it names no instance."""
         return self.worker.instance or InstanceId(self.worker.id)
 
-    def note_evacuation(self, wanted: bool | None, now: float) -> bool:
+    def update_evacuation(self, wanted: bool | None, now: float) -> bool:
         """Take the holder's word, None if it is silent; return whether anything changes.
 
         What a report told is acted on for a while, also by a holder that is not heard of any more.
         """
-        self.wanted_empty = bool(wanted)
-        kept = wanted is None and now - self.told_empty_at < ACTED_ON_S
-        evacuating = self.wanted_empty or (self.evacuating and kept)
+        self.evacuation_requested = bool(wanted)
+        kept = wanted is None and now - self.evacuation_reported_at < REPORT_VALIDITY_S
+        evacuating = self.evacuation_requested or (self.evacuating and kept)
         changed = evacuating != self.evacuating
         self.evacuating = evacuating
         return changed
@@ -114,13 +114,13 @@
         """Whether the worker's end is planned."""
         return self.evacuating or self.worker.state is WorkerState.DRAINING
 
-    def open(self, now: float) -> bool:
+    def accepts_tasks(self, now: float) -> bool:
         """Whether the worker may be given tasks now."""
         ready = self.listed and self.worker.state is WorkerState.READY
-        answers = self.reachable and not self.unknown_runs
-        return ready and answers and not self.evacuating and now >= self.avoid_until
+        answers = self.reachable and not self.has_unknown_runs
+        return ready and answers and not self.evacuating and now >= self.paused_until
 
-    def over_full(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Whether what is counted here exceeds the room, which may have shrunk since."""
         room = self.worker.capacity
         return (
@@ -143,7 +143,7 @@
         """Whether the worker has the label that a step requires, if it requires one."""
         return not spec.required_label or spec.required_label in self.worker.labels
 
-    def allows(self, group: StepGroup) -> bool:
+    def meets_constraints(self, group: StepGroup) -> bool:
         """Whether the step's label and spread permit one more of its tasks here."""
         spec = group.spec
         if not self.has_label(spec):
@@ -153,11 +153,11 @@
         held = sum(1 for task in self.tasks if task.group is group)
         return held < spec.max_per_worker
 
-    def takes(self, group: StepGroup, now: float) -> bool:
+    def can_take(self, group: StepGroup, now: float) -> bool:
         """Whether one more task of a step may be given to the worker now."""
-        return self.open(now) and self.fits(group.spec) and self.allows(group)
+        return self.accepts_tasks(now) and self.fits(group.spec) and self.meets_constraints(group)
 
-    def share(self) -> float:
+    def utilization(self) -> float:
         """Return how full the worker is, by its scarcest resource."""
         room = self.worker.capacity
         return max(
@@ -171,9 +171,9 @@
             self.ejections = 0
             return False
         self.failures += 1
-        if self.failures < EJECT_AFTER:
+        if self.failures < MIN_EJECT_FAILURES:
             return False
         self.failures = 0
-        self.avoid_until = now + min(MAX_EJECT_S, EJECT_S * 2**self.ejections)
+        self.paused_until = now + min(MAX_EJECT_S, MIN_EJECT_S * 2**self.ejections)
         self.ejections += 1
         return True
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -14,13 +14,13 @@
 from pumicespur.commands import node
 from pumicespur.jobs import (
     _availability,
-    _beliefs,
     _journal,
+    _known_state,
     _lease,
     _limits,
     _pool,
     _service,
-    _watch,
+    _worker_session,
     _worker_starts,
 )
 from pumicespur.model import ANYONE
@@ -52,7 +52,7 @@
 
 
 TRANSACTION = _journal.Journal._transaction
-TAKE_IN = _watch.WorkerWatch._take_in
+APPLY_STATUS = _worker_session.WorkerSession._apply_status
 ADD_WORKER = _pool.PoolState.add_worker
 ROOMS: dict[Any, Any] = {}
 SUBMIT = _service.JobService.submit
@@ -65,8 +65,8 @@
     return Transaction([], transaction.writes), record
 
 
-async def _confirm_unrecorded(self: _watch.WorkerWatch, *arguments: Any) -> None:
-    await TAKE_IN(self, *arguments)
+async def _confirm_unrecorded(self: _worker_session.WorkerSession, *arguments: Any) -> None:
+    await APPLY_STATUS(self, *arguments)
     self.recorded = self.acknowledged = self.seen
 
 
@@ -77,8 +77,8 @@
 
 
 async def _forget_start(self: _worker_starts.WorkerStarts, task: Any, start: Any) -> None:
-    self.unsettled.pop(task, None)
-    self.free_if_same(task, start.run, "start did not arrive")
+    self.unresolved.pop(task, None)
+    self.requeue_if_unchanged(task, start.run, "start did not arrive")
 
 
 def _drop_all(self: _pool.PoolState, worker: Any, keep: Any = ()) -> None:
@@ -105,19 +105,19 @@
         case Mutant.COMMITS_WITHOUT_CONDITIONS:
             _replace(_journal.Journal, "_transaction", _commit_without_conditions)
         case Mutant.ENDS_CONFIRMED_UNRECORDED:
-            _replace(_watch.WorkerWatch, "_take_in", _confirm_unrecorded)
+            _replace(_worker_session.WorkerSession, "_apply_status", _confirm_unrecorded)
         case Mutant.LEASES_NOT_WAITED_OUT:
-            _replace(_lease.WorkerLease, "over_at", lambda self: 0.0)
+            _replace(_lease.WorkerLease, "expires_at", lambda self: 0.0)
         case Mutant.LOST_ANSWERS_COUNT_AS_ACCEPTED:
             _replace(_service.JobService, "submit", _accept_whatever)
         case Mutant.UNANSWERED_STARTS_FORGOTTEN:
-            _replace(_worker_starts.WorkerStarts, "_bar", _forget_start)
+            _replace(_worker_starts.WorkerStarts, "_revoke", _forget_start)
         case Mutant.BUDGETS_IGNORED:
-            _replace(_availability, "away_beside", lambda *arguments: 0)
+            _replace(_availability, "count_unavailable_others", lambda *arguments: 0)
         case Mutant.READINGS_BROKEN_OFF:
             _replace(_table.PlatformTable, "renew_readings", _break_off)
         case Mutant.LOSSES_FORGOTTEN:
-            _replace(_pool, "is_hopeless", lambda task: False)
+            _replace(_pool, "exceeds_loss_limit", lambda task: False)
         case Mutant.KEYS_CHECKED_AT_HAND_IN:
             _replace(_callers.CallerServer, "_caller", _check_at_hand_in)
         case Mutant.KEYS_LOGGED:
@@ -128,10 +128,10 @@
             _replace(_declarations, "decode_birth", lambda born: None)
             _replace(_orders, "decode_birth", lambda born: None)
         case Mutant.AGES_IGNORED:
-            _replace(_beliefs.Beliefs, "outdated", lambda *arguments: "")
-            _replace(_beliefs.Beliefs, "hold_for_s", lambda *arguments: math.inf)
+            _replace(_known_state.KnownState, "staleness_reason", lambda *arguments: "")
+            _replace(_known_state.KnownState, "valid_for_s", lambda *arguments: math.inf)
         case Mutant.LEAVING_NOT_ASKED_AGAIN:
-            _replace(_worker_starts.WorkerStarts, "_reason_against", lambda *arguments: "")
+            _replace(_worker_starts.WorkerStarts, "_reason_to_withhold", lambda *arguments: "")
         case Mutant.OPEN_STARTS_FORGOTTEN:
             _replace(_pool.PoolState, "drop_worker", _drop_all)
         case Mutant.ROOM_NOT_READ_AGAIN:
--- a/tests/test_account_report.py
+++ b/tests/test_account_report.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.jobs._account_report import (
-    ACCOUNTS_TOLD,
+    MAX_NAMED_ACCOUNTS,
     count_accounts,
     describe_accounts,
     describe_hold,
@@ -37,17 +37,17 @@
         return pool
 
     def test_largest_are_named_and_the_rest_is_summed(self) -> None:
-        pool = self.make(ACCOUNTS_TOLD + 7)
-        pool.limits.lacking.clear()
+        pool = self.make(MAX_NAMED_ACCOUNTS + 7)
+        pool.limits.blocked_accounts.clear()
         told = describe_accounts(pool)
-        self.assertEqual(ACCOUNTS_TOLD + 1, len(told))
+        self.assertEqual(MAX_NAMED_ACCOUNTS + 1, len(told))
         self.assertEqual({"tasks": 14, "cpu_millis": 14_000}, told["(others)"])
 
     def test_series_are_bounded_and_old_ones_go(self) -> None:
         for _ in range(2):
             METRICS.forget_accounts()
-            count_accounts(self.make(ACCOUNTS_TOLD + 7))
-        self.assertEqual(ACCOUNTS_TOLD + 1, len(METRICS.account_cpu.values))
+            count_accounts(self.make(MAX_NAMED_ACCOUNTS + 7))
+        self.assertEqual(MAX_NAMED_ACCOUNTS + 1, len(METRICS.account_cpu.values))
 
     def test_operator_is_told_that_a_limit_holds_a_job(self) -> None:
         pool = self.make(1)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -9,7 +9,7 @@
 
 from expression import Result
 
-from pumicespur.jobs._access import is_there_for
+from pumicespur.jobs._access import is_visible_to
 from pumicespur.model import (
     ANYONE,
     AccountId,
@@ -113,7 +113,7 @@
 
     def there(self, owner: str, caller: str, route: str = "quick") -> bool:
         job = JobRecord(id="0" * 16, route=route, account=owner)
-        return is_there_for(AccountId(caller), ROUTE, job)
+        return is_visible_to(AccountId(caller), ROUTE, job)
 
     def test_job_is_there_for_its_own_account_only(self) -> None:
         self.assertTrue(self.there("a", "a"))
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -22,17 +22,17 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from pumicespur.jobs._crashes import (
-    ALONE_LIMIT,
+from pumicespur.jobs._crash_attribution import (
     LOSS_LIMIT,
-    PROVEN_S,
-    SETTLED_S,
-    TRIAL_WAIT_S,
-    is_on_trial,
+    MAX_QUARANTINE_WAIT_S,
+    PROVEN_AFTER_S,
+    SETTLED_AFTER_S,
+    SOLE_CAUSE_LIMIT,
+    is_quarantined,
     note_running,
 )
-from pumicespur.jobs._job import Loss, Standing, Task, TaskState, make_job
-from pumicespur.jobs._load import WorkerLoad
+from pumicespur.jobs._job import RunStability, Task, TaskState, WorkerLoss, make_job
+from pumicespur.jobs._worker_load import WorkerLoad
 from pumicespur.model import InstanceId, WorkerId
 from pumicespur.schema.jobs_pb import JobPhase, ProgressRecord, StepRecord
 from standins.hosted import CRASHING_PAYLOAD, Run
@@ -170,11 +170,11 @@
     assert worker is not None
     load = pool.loads[worker]
     pool.note_silence(load, 0.0)
-    pool.lose_runs(load)
+    pool.note_lost_runs(load)
     pool.drop_worker(worker)
 
 
-def prove(*tasks: Task, ran_s: float = PROVEN_S) -> None:
+def prove(*tasks: Task, ran_s: float = PROVEN_AFTER_S) -> None:
     """Let runs go on, by default for longer than a program takes to start."""
     for task in tasks:
         note_running(WorkerLoad(make_worker("any")), task, ran_s)
@@ -196,13 +196,13 @@
         prove(self.old)
         lose(self.pool, self.worker)
         self.assertEqual([0, 1, 1], self.losses())
-        self.assertFalse(self.new.losses[0].alone)
+        self.assertFalse(self.new.losses[0].sole_suspect)
 
     def test_the_only_new_task_is_the_only_possible_cause(self) -> None:
         prove(self.old, self.new)
         lose(self.pool, self.worker)
         self.assertEqual([0, 0, 1], self.losses())
-        self.assertTrue(self.newer.losses[0].alone)
+        self.assertTrue(self.newer.losses[0].sole_suspect)
 
     def test_all_are_suspected_where_none_is_new(self) -> None:
         prove(self.old, self.new, self.newer)
@@ -211,7 +211,7 @@
 
     def test_a_run_that_has_gone_on_for_long_is_not_the_cause(self) -> None:
         prove(self.new, self.newer)
-        prove(self.old, ran_s=SETTLED_S)
+        prove(self.old, ran_s=SETTLED_AFTER_S)
         lose(self.pool, self.worker)
         self.assertEqual([0, 1, 1], self.losses())
 
@@ -230,15 +230,15 @@
         prove(self.old, self.new)
         load = self.pool.loads[WorkerId("w-1")]
         self.pool.note_silence(load, 0.0)
-        self.pool.lose_runs(load, ended=False)
-        self.assertFalse(self.newer.losses[0].alone)
+        self.pool.note_lost_runs(load, ended=False)
+        self.assertFalse(self.newer.losses[0].sole_suspect)
 
     def test_a_rack_that_is_lost_has_a_cause_of_its_own(self) -> None:
         self.pool.add_worker(make_worker("w-2")).reachable = True
         prove(self.old, self.new)
         self.pool.note_silence(self.pool.loads[WorkerId("w-2")], 0.5)
         lose(self.pool, self.worker)
-        self.assertFalse(self.newer.losses[0].alone)
+        self.assertFalse(self.newer.losses[0].sole_suspect)
 
     def test_two_crashing_tasks_explain_two_losses_at_once(self) -> None:
         other = self.pool.add_worker(make_worker("w-2"))
@@ -249,13 +249,13 @@
         prove(self.old, self.new)
         self.pool.note_silence(other, 0.5)
         lose(self.pool, self.worker)
-        self.assertTrue(self.newer.losses[0].alone)
+        self.assertTrue(self.newer.losses[0].sole_suspect)
 
     def test_a_worker_that_answers_again_was_not_brought_down(self) -> None:
         load = self.pool.loads[WorkerId("w-1")]
-        self.pool.lose_runs(load)
+        self.pool.note_lost_runs(load)
         self.assertEqual([1, 1, 1], self.losses())
-        self.pool.forgive_loss(load)
+        self.pool.retract_losses(load)
         self.assertEqual([0, 0, 0], self.losses())
 
     def test_losses_survive_being_written_and_read(self) -> None:
@@ -268,7 +268,9 @@
 def suspect_again(*tasks: Task) -> None:
     """Let another worker be lost under tasks, each of which may have been the cause."""
     for task in tasks:
-        task.losses.append(Loss(WorkerId("earlier"), InstanceId("earlier"), alone=False))
+        task.losses.append(
+            WorkerLoss(WorkerId("earlier"), InstanceId("earlier"), sole_suspect=False)
+        )
 
 
 class SpreadTest(unittest.TestCase):
@@ -295,10 +297,10 @@
     def setUp(self) -> None:
         self.pool = make_pool(*(make_worker(f"w-{number}") for number in range(5)))
         submit(self.pool, make_record(StepRecord(count=6, cpu_millis=100)))
-        self.suspects = run_all(self.pool)
-        (worker,) = {task.worker for task in self.suspects}
+        self.suspected_tasks = run_all(self.pool)
+        (worker,) = {task.worker for task in self.suspected_tasks}
         lose(self.pool, worker)
-        suspect_again(*self.suspects)
+        suspect_again(*self.suspected_tasks)
 
     def test_each_has_a_worker_to_itself_and_half_of_them_serve_the_others(self) -> None:
         tried = run_all(self.pool)
@@ -314,18 +316,18 @@
         # trials took half a minute, with most of the room free.
         now = 100.0
         self.assertEqual(2, len(self.pool.place(now, 0.0)))
-        self.assertEqual(0, len(self.pool.place(now + TRIAL_WAIT_S / 2, 0.0)))
-        self.assertEqual(4, len(self.pool.place(now + TRIAL_WAIT_S, 0.0)))
+        self.assertEqual(0, len(self.pool.place(now + MAX_QUARANTINE_WAIT_S / 2, 0.0)))
+        self.assertEqual(4, len(self.pool.place(now + MAX_QUARANTINE_WAIT_S, 0.0)))
 
     def test_one_that_runs_makes_way_for_the_next(self) -> None:
         for task in run_all(self.pool):
             prove(task)
-            self.assertFalse(is_on_trial(task))
+            self.assertFalse(is_quarantined(task))
         self.assertEqual(2, len(run_all(self.pool)))
 
     def test_one_that_runs_for_long_is_cleared(self) -> None:
         task, *_ = run_all(self.pool)
-        prove(task, ran_s=SETTLED_S)
+        prove(task, ran_s=SETTLED_AFTER_S)
         self.assertEqual([], task.losses)
 
     def test_a_worker_is_kept_until_its_new_tasks_have_shown_that_they_run(self) -> None:
@@ -353,8 +355,8 @@
         self.job = submit(self.pool, make_record(StepRecord(count=1, cpu_millis=100)))
 
     def crash(self, instance: str, *, alone: bool = True) -> None:
-        loss = Loss(WorkerId(f"life of {instance}"), InstanceId(instance), alone)
-        self.pool.lose_run(self.job.tasks[0], loss)
+        loss = WorkerLoss(WorkerId(f"life of {instance}"), InstanceId(instance), alone)
+        self.pool.note_lost_run(self.job.tasks[0], loss)
 
     def test_with_the_second_instance_that_it_alone_brought_down(self) -> None:
         self.crash("m-1")
@@ -362,7 +364,7 @@
         self.crash("m-2")
         self.assertIs(JobPhase.FAILED, self.job.phase)
         assert self.job.failure is not None
-        self.assertEqual(ALONE_LIMIT, len(self.job.failure.lost_workers))
+        self.assertEqual(SOLE_CAUSE_LIMIT, len(self.job.failure.lost_workers))
 
     def test_not_by_an_instance_that_ends_again_and_again(self) -> None:
         for _ in range(LOSS_LIMIT - 1):
@@ -469,6 +471,6 @@
         submit(pool, make_record(StepRecord(count=1, cpu_millis=100)))
         (task,) = run_all(pool)
         prove(task)
-        pool.free(task)
+        pool.requeue(task)
         run_all(pool)
-        self.assertIs(Standing.NEW, task.standing)
+        self.assertIs(RunStability.NEW, task.stability)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -15,25 +15,25 @@
 
 from pumicespur.jobs._availability import tasks_to_move
 from pumicespur.jobs._demand import (
-    LEAST_WORKERS,
-    Arrivals,
+    MIN_WORKERS,
+    ArrivalTracker,
     Demand,
     DemandTracker,
     current_demand,
 )
-from pumicespur.jobs._estimates import PRIOR_TASKS, Estimates, RouteEstimates
-from pumicespur.jobs._intake import JobIntake
-from pumicespur.jobs._job import Job, Task, TaskState, longest_chains_ms, make_job
+from pumicespur.jobs._estimates import PRIOR_WEIGHT, DurationEstimates, RouteEstimator
+from pumicespur.jobs._job import Job, Task, TaskState, compute_critical_paths_ms, make_job
 from pumicespur.jobs._keys import submission_parts
 from pumicespur.jobs._lease import EarlierLeases, WorkerLease
 from pumicespur.jobs._limits import PoolLimits
-from pumicespur.jobs._load import EJECT_AFTER, WorkerLoad
-from pumicespur.jobs._pace import choose_paces
-from pumicespur.jobs._placement import is_late, order_groups, place_groups, put
+from pumicespur.jobs._placement import assign, is_overdue, order_groups, place_groups
 from pumicespur.jobs._pool import PoolState
-from pumicespur.jobs._size import PoolSize
+from pumicespur.jobs._pool_sizing import PoolSizer
 from pumicespur.jobs._stops import is_stalled
-from pumicespur.jobs._sweep import SubmissionSweep
+from pumicespur.jobs._submission_cleanup import SubmissionCleanup
+from pumicespur.jobs._submission_follower import SubmissionFollower
+from pumicespur.jobs._throttle import choose_speed_changes
+from pumicespur.jobs._worker_load import MIN_EJECT_FAILURES, WorkerLoad
 from pumicespur.model import (
     ANYONE,
     Capacity,
@@ -150,7 +150,7 @@
             StepRecord(count=1, estimated_ms=50),
             StepRecord(count=1, estimated_ms=30, depends_on=[0, 1]),
         ]
-        chains = longest_chains_ms(make_record(*steps), Estimates())
+        chains = compute_critical_paths_ms(make_record(*steps), DurationEstimates())
         self.assertEqual(130, round(max(chains)))
 
     @given(st.sets(st.integers(0, 11)), st.dictionaries(st.integers(0, 11), st.integers(1, 5)))
@@ -158,14 +158,14 @@
         self, done: set[int], runs: dict[int, int]
     ) -> None:
         record = make_record(StepRecord(count=12, cpu_millis=1), StepRecord(count=1))
-        job = make_job(record, ROUTE, Estimates())
+        job = make_job(record, ROUTE, DurationEstimates())
         for index, run in runs.items():
             job.tasks[index].run = run
             job.tasks[index].worker = WorkerId("w-1")
             job.tasks[index].state = TaskState.RUNNING
         for index in done:
             job.finish_task(job.tasks[index])
-        again = make_job(record, ROUTE, Estimates())
+        again = make_job(record, ROUTE, DurationEstimates())
         again.restore(ProgressRecord.from_binary(job.progress(7).to_binary()))
         for task in again.tasks:
             self.assertEqual(task.index in done, task.state is TaskState.DONE)
@@ -215,9 +215,9 @@
         first = self.task.worker
         assert first is not None
         self.pool.loads[first].remove(self.task)
-        self.task.release()
+        self.task.mark_waiting()
         other = self.pool.add_worker(make_worker("other"))
-        put(self.task, other)
+        assign(self.task, other)
         earlier = TaskEnd(1, self.task.name, 1, RunEnd.DONE, "")
         self.pool.note_end(first, earlier, 0.0)
         self.assertIs(TaskState.DONE, self.task.state)
@@ -338,16 +338,16 @@
         # In a peak that outgrew its pool, work was begun until half of its rest was too much.
         pool = make_pool(make_worker("w"))
         group = submit(pool, make_record(StepRecord(count=1, estimated_ms=1000))).groups[0]
-        latest_ms = group.job.deadline_ms - group.job.rest_ms[0]
-        self.assertFalse(is_late(group, latest_ms))
-        self.assertTrue(is_late(group, latest_ms + 1))
+        latest_ms = group.job.deadline_ms - group.job.critical_paths_ms[0]
+        self.assertFalse(is_overdue(group, latest_ms))
+        self.assertTrue(is_overdue(group, latest_ms + 1))
 
     def test_worker_that_fails_everything_is_left_out_for_a_while(self) -> None:
         load = WorkerLoad(make_worker("w-1"), reachable=True)
-        for _ in range(EJECT_AFTER):
+        for _ in range(MIN_EJECT_FAILURES):
             load.note_result(False, 0.0)
-        self.assertFalse(load.open(1.0))
-        self.assertTrue(load.open(2.1))
+        self.assertFalse(load.accepts_tasks(1.0))
+        self.assertTrue(load.accepts_tasks(2.1))
 
     def test_draining_evacuating_or_silent_worker_gets_nothing(self) -> None:
         pool = make_pool(make_worker("w-1"))
@@ -374,7 +374,7 @@
         self.assertEqual(1, len(tasks_to_move(self.pool, 10.0)))
 
     def test_none_while_another_is_not_at_work(self) -> None:
-        self.job.tasks[0].away_since = 9.0
+        self.job.tasks[0].unavailable_since = 9.0
         chosen = tasks_to_move(self.pool, 10.0)
         self.assertEqual([self.job.tasks[0]], chosen)
 
@@ -395,12 +395,12 @@
     """What is to be expected of a task."""
 
     def test_declared_times_hold_at_first(self) -> None:
-        self.assertAlmostEqual(700, Estimates().corrected_ms(ROUTE.name, 700))
+        self.assertAlmostEqual(700, DurationEstimates().corrected_ms(ROUTE.name, 700))
 
     @given(st.floats(0.2, 5.0), st.floats(20, 20_000))
     def test_constant_factor_is_learnt(self, factor: float, declared_ms: float) -> None:
-        route = RouteEstimates()
-        for number in range(int(PRIOR_TASKS) * 40):
+        route = RouteEstimator()
+        for number in range(int(PRIOR_WEIGHT) * 40):
             declared = 100.0 * (1 + number % 7)
             route.note(declared, declared * factor)
         corrected = route.corrected_ms(declared_ms)
@@ -408,7 +408,7 @@
 
     def test_worthless_declarations_give_way_to_what_was_seen(self) -> None:
         source = random.Random(1)
-        route = RouteEstimates()
+        route = RouteEstimator()
         for _ in range(400):
             route.note(source.lognormvariate(7, 1), 1000.0)
         self.assertLess(abs(route.corrected_ms(100.0) - 1000), 150)
@@ -463,21 +463,21 @@
         self.filling = next(task for task in load.tasks if task.spec.fills)
 
     def paces(self, now: float) -> list[int]:
-        changes = choose_paces(self.pool.loads.values(), now)
+        changes = choose_speed_changes(self.pool.loads.values(), now)
         for task, percent in changes:
-            task.pace = percent
+            task.speed_percent = percent
         return [percent for _, percent in changes]
 
     def test_slowed_then_stopped_then_let_loose(self) -> None:
-        self.serving.figure = 95
+        self.serving.measurement = 95
         self.assertEqual([[30], [0], []], [self.paces(now) for now in (1.0, 2.0, 3.0)])
-        self.serving.figure = 70
+        self.serving.measurement = 70
         self.assertEqual([], self.paces(4.0))
-        self.serving.figure = 20
+        self.serving.measurement = 20
         self.assertEqual([[20], [40]], [self.paces(now) for now in (5.0, 6.0)])
 
     def test_changes_wait_for_new_figures(self) -> None:
-        self.serving.figure = 95
+        self.serving.measurement = 95
         self.assertEqual([[30], []], [self.paces(now) for now in (1.0, 1.3)])
 
 
@@ -500,12 +500,12 @@
 
     def test_slow_clock_is_allowed_for(self) -> None:
         lease = WorkerLease(drift=0.02, earlier=EarlierLeases(0.0))
-        lease.note(1000.0, 10.0)
+        lease.note_clock(1000.0, 10.0)
         self.assertEqual(2000, lease.grant(10.0, 1.0))
-        self.assertAlmostEqual(10.0 + 1.0 / 0.98, lease.over_at())
+        self.assertAlmostEqual(10.0 + 1.0 / 0.98, lease.expires_at())
 
     def test_unheard_worker_is_waited_out_for_earlier_owners(self) -> None:
-        self.assertEqual(7.0, WorkerLease(drift=0.02, earlier=EarlierLeases(7.0)).over_at())
+        self.assertEqual(7.0, WorkerLease(drift=0.02, earlier=EarlierLeases(7.0)).expires_at())
 
 
 class IntakeTest(unittest.IsolatedAsyncioTestCase):
@@ -537,7 +537,7 @@
 
         Table.times.note_answer(monotonic(), 0.01)
         pool = make_pool()
-        intake = JobIntake(
+        follower = SubmissionFollower(
             pool,
             cast("Any", Table()),
             cast("Any", None),
@@ -546,10 +546,10 @@
             lambda job: None,
         )
         with self.assertRaises(EOFError):
-            await intake.follow()
+            await follower.follow()
         self.assertLessEqual(asked[0], 0.5)
         self.assertEqual(sorted(submission_parts(PoolId("main"))), sorted(parts))
-        self.assertEqual(7, intake.reading.version)
+        self.assertEqual(7, follower.reading.version)
 
 
 class PoolSizeTest(unittest.TestCase):
@@ -559,21 +559,21 @@
         # Workers of a peak that was over were asked for three more seconds, while the next
         # pool's jobs waited for them.
         pool = make_pool(make_worker("w-1"))
-        size = PoolSize(pool, lambda: None)
+        size = PoolSizer(pool, lambda: None)
         step = StepRecord(count=2, cpu_millis=4000, estimated_ms=1000)
         for number in range(30):
             record = make_record(step, job=f"{number:016x}", accepted_ms=100 * number)
             size.note_arrival(make_job(record, ROUTE, pool.estimates))
         report = PoolReport()
         size.demand.note(0.0, Demand(80_000, 0))
-        with patch("pumicespur.jobs._size.now_ms", return_value=3000):
-            size.note(0.0)
-            size.report(report)
-        self.assertGreater(report.wanted_workers, LEAST_WORKERS)
-        with patch("pumicespur.jobs._size.now_ms", return_value=4400):
-            size.note(0.2)
-            size.report(report)
-        self.assertEqual(LEAST_WORKERS, report.wanted_workers)
+        with patch("pumicespur.jobs._pool_sizing.now_ms", return_value=3000):
+            size.update(0.0)
+            size.fill_report(report)
+        self.assertGreater(report.wanted_workers, MIN_WORKERS)
+        with patch("pumicespur.jobs._pool_sizing.now_ms", return_value=4400):
+            size.update(0.2)
+            size.fill_report(report)
+        self.assertEqual(MIN_WORKERS, report.wanted_workers)
 
 
 class LateWorkTest(unittest.TestCase):
@@ -583,27 +583,27 @@
         self.pool = make_pool(make_worker("w-1"))
         step = StepRecord(count=40, cpu_millis=4000, estimated_ms=1000)
         submit(self.pool, make_record(step, job="1" * 16, accepted_ms=0))
-        self.size = PoolSize(self.pool, lambda: None)
+        self.size = PoolSizer(self.pool, lambda: None)
 
     def report(self, now_ms: int) -> PoolReport:
         report = PoolReport()
-        with patch("pumicespur.jobs._size.now_ms", return_value=now_ms):
-            self.size.note(now_ms / 1000)
-            self.size.report(report)
+        with patch("pumicespur.jobs._pool_sizing.now_ms", return_value=now_ms):
+            self.size.update(now_ms / 1000)
+            self.size.fill_report(report)
         return report
 
     def test_is_told_apart(self) -> None:
         self.assertEqual(160_000, current_demand(self.pool, 0.0).waiting.cpu_millis)
         demand = current_demand(self.pool, 60_000.0)
         self.assertEqual(0, demand.waiting.cpu_millis)
-        self.assertEqual(160_000, demand.late.cpu_millis)
+        self.assertEqual(160_000, demand.overdue.cpu_millis)
 
     def test_takes_no_instance_and_keeps_what_nobody_asks_for(self) -> None:
         # A pool kept 116 of 180 instances for late work while the next one's peak began on 24.
         early = self.report(0)
         self.assertGreater(early.busy_workers, 20)
         late = self.report(60_000)
-        self.assertEqual(LEAST_WORKERS, late.busy_workers)
+        self.assertEqual(MIN_WORKERS, late.busy_workers)
         self.assertGreater(late.wanted_workers, 20)
 
 
@@ -614,13 +614,13 @@
         tracker = DemandTracker()
         for step in range(20):
             tracker.note(step * 0.25, Demand(1000, 10))
-        self.assertEqual(Demand(1000, 10), tracker.foreseen())
+        self.assertEqual(Demand(1000, 10), tracker.forecast())
 
     def test_growth_is_foreseen(self) -> None:
         tracker = DemandTracker()
         for step in range(20):
             tracker.note(step * 0.25, Demand(step * 100, 0))
-        self.assertGreater(tracker.foreseen().cpu_millis, 1900)
+        self.assertGreater(tracker.forecast().cpu_millis, 1900)
 
 
 class SweepTest(unittest.IsolatedAsyncioTestCase):
@@ -630,7 +630,7 @@
         self.calls: list[Transaction] = []
         self.answers: Any = Ok(1)
         table = SimpleNamespace(transact=self.transact, times=AnswerTimes(0.4, 3.0))
-        self.sweep = SubmissionSweep(PoolId("main"), cast("Any", table))
+        self.cleanup = SubmissionCleanup(PoolId("main"), cast("Any", table))
 
     async def transact(self, transaction: Transaction) -> object:
         """Take a call of the sweep."""
@@ -640,58 +640,58 @@
     async def test_jobs_of_one_part_share_a_call(self) -> None:
         # Each ended job cost a call, in the part that callers waited for.
         for number in range(1000):
-            self.sweep.empty(JobId(f"job-{number}"), ROUTE.name, ANYONE)
-        await self.sweep.sweep()
+            self.cleanup.compact(JobId(f"job-{number}"), ROUTE.name, ANYONE)
+        await self.cleanup.clean_up()
         self.assertEqual(len(submission_parts(PoolId("main"))), len(self.calls))
         parts = {write.key.rpartition("/")[0] for write in self.calls[0].writes}
         self.assertEqual(1, len(parts))
-        self.assertFalse(self.sweep.pending)
+        self.assertFalse(self.cleanup.pending)
 
     async def test_what_is_not_confirmed_is_written_again(self) -> None:
-        self.sweep.empty(JobId("job"), ROUTE.name, ANYONE)
+        self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
         self.answers = Error(Unavailable("busy"))
-        await self.sweep.sweep()
-        self.assertTrue(self.sweep.pending)
+        await self.cleanup.clean_up()
+        self.assertTrue(self.cleanup.pending)
         self.answers = Ok(2)
-        await self.sweep.sweep()
-        self.assertFalse(self.sweep.pending)
+        await self.cleanup.clean_up()
+        self.assertFalse(self.cleanup.pending)
 
     async def test_removal_follows_an_emptying_that_is_pending(self) -> None:
-        self.sweep.empty(JobId("job"), ROUTE.name, ANYONE)
-        self.sweep.remove(JobId("job"))
-        await self.sweep.sweep()
+        self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
+        self.cleanup.remove(JobId("job"))
+        await self.cleanup.clean_up()
         self.assertEqual([None], [write.value for write in self.calls[0].writes])
 
     async def test_removal_that_is_pending_stays(self) -> None:
         # An owner that reads all submissions anew finds those that are to be removed again.
-        self.sweep.remove(JobId("job"))
-        self.sweep.empty(JobId("job"), ROUTE.name, ANYONE)
-        await self.sweep.sweep()
-        self.assertEqual(["job"], self.sweep.take_removed())
+        self.cleanup.remove(JobId("job"))
+        self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
+        await self.cleanup.clean_up()
+        self.assertEqual(["job"], self.cleanup.take_removed())
 
     async def test_progress_goes_only_after_the_submission(self) -> None:
         # A job whose submission outlived its progress would run again under a successor.
-        self.sweep.remove(JobId("job"))
+        self.cleanup.remove(JobId("job"))
         self.answers = Error(Unavailable("busy"))
-        await self.sweep.sweep()
-        self.assertEqual([], self.sweep.take_removed())
+        await self.cleanup.clean_up()
+        self.assertEqual([], self.cleanup.take_removed())
         self.answers = Ok(2)
-        await self.sweep.sweep()
-        self.assertEqual(["job"], self.sweep.take_removed())
-        self.assertEqual([], self.sweep.take_removed())
+        await self.cleanup.clean_up()
+        self.assertEqual(["job"], self.cleanup.take_removed())
+        self.assertEqual([], self.cleanup.take_removed())
 
 
 class ArrivalsTest(unittest.TestCase):
     """What callers ask for, before any of it runs."""
 
     def setUp(self) -> None:
-        self.arrivals = Arrivals()
+        self.arrivals = ArrivalTracker()
 
     def arrive(self, at_ms: int, **fields: Any) -> None:
         """Hand a job in that keeps two cores busy for a second."""
         step = StepRecord(count=2, cpu_millis=1000, estimated_ms=1000, **fields)
         record = JobRecord(id=f"job-{at_ms}", route="quick", accepted_ms=at_ms, steps=[step])
-        self.arrivals.note(make_job(record, ROUTE, Estimates()), Estimates())
+        self.arrivals.note(make_job(record, ROUTE, DurationEstimates()), DurationEstimates())
 
     def test_work_of_the_last_seconds_is_averaged(self) -> None:
         for at_ms in range(0, 1500, 100):
@@ -710,7 +710,7 @@
             StepRecord(count=32, cpu_millis=4000, estimated_ms=4000, depends_on=[0]),
         ]
         record = JobRecord(id="wide", route="quick", steps=steps)
-        self.arrivals.note(make_job(record, ROUTE, Estimates()), Estimates())
+        self.arrivals.note(make_job(record, ROUTE, DurationEstimates()), DurationEstimates())
         self.assertAlmostEqual(32 * 4000, self.arrivals.cpu_millis(100), delta=2)
         self.assertAlmostEqual(32 * 4000, self.arrivals.cpu_millis(7900), delta=2)
         self.assertEqual(0, self.arrivals.cpu_millis(8100))
@@ -721,18 +721,18 @@
         for at_ms in range(0, 1000, 100):
             self.arrive(at_ms)
         now = self.arrivals.measure(1000)
-        self.assertAlmostEqual(now + 2.0 * 0.9 * now, self.arrivals.foreseen(), delta=20)
+        self.assertAlmostEqual(now + 2.0 * 0.9 * now, self.arrivals.forecast(), delta=20)
 
     def test_one_job_is_no_growth(self) -> None:
         self.arrivals.measure(0)
         self.arrive(0)
         now = self.arrivals.measure(1000)
-        self.assertEqual(now, self.arrivals.foreseen())
+        self.assertEqual(now, self.arrivals.forecast())
 
     def test_falling_once_less_than_half_arrives(self) -> None:
         for at_ms in range(0, 1500, 100):
             self.arrive(at_ms)
         self.arrivals.measure(1500)
-        self.assertFalse(self.arrivals.falling())
+        self.assertFalse(self.arrivals.is_falling())
         self.arrivals.measure(2600)
-        self.assertTrue(self.arrivals.falling())
+        self.assertTrue(self.arrivals.is_falling())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -12,13 +12,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from pumicespur.jobs._beliefs import Beliefs, start_timeout_s, workers_max_age_s
 from pumicespur.jobs._job import TaskState
+from pumicespur.jobs._known_state import KnownState, start_timeout_s, workers_max_age_s
 from pumicespur.jobs._lease import EarlierLeases
-from pumicespur.jobs._load import ACTED_ON_S
-from pumicespur.jobs._placement import put
-from pumicespur.jobs._reports import report_pool
-from pumicespur.jobs._watch import WorkerWatch
+from pumicespur.jobs._placement import assign
+from pumicespur.jobs._pool_report import report_pool
+from pumicespur.jobs._worker_load import REPORT_VALIDITY_S
+from pumicespur.jobs._worker_session import WorkerSession
 from pumicespur.model import AccountId, Capacity, ClientAccount, ProcessId, WorkerState
 from pumicespur.node._hearing import Hearing
 from pumicespur.schema.jobs_pb import DutyReport, PoolReport, StepRecord
@@ -29,7 +29,7 @@
 from tests.base import default_settings, quiet_loop
 from tests.test_jobs import make_pool, make_record, make_worker, submit
 from tests.test_node import STEP, NodeCase, job_id
-from tests.test_watch import ScriptedHolder
+from tests.test_watch import ScriptedOwner
 
 DRAIN_S = 1.2
 """Time that nodes under test have to know that a worker leaves, as their settings tell."""
@@ -44,88 +44,86 @@
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
-        self.holder = ScriptedHolder()
-        self.settings = self.holder.settings.workers
+        self.owner = ScriptedOwner()
+        self.settings = self.owner.settings.workers
         self.drain_s = self.settings.drain_ms / 1000
         self.worker = make_worker("w", cpu=4000)
-        self.watch = WorkerWatch(self.holder, self.worker, EarlierLeases(0.0))
-        self.watch.load.reachable = True
-        self.watch.lease.note(0.0, monotonic())
-        self.task = submit(self.holder.pool, make_record(StepRecord(count=1, cpu_millis=1))).tasks[
-            0
-        ]
-        put(self.task, self.watch.load)
+        self.session = WorkerSession(self.owner, self.worker, EarlierLeases(0.0))
+        self.session.load.reachable = True
+        self.session.lease.note_clock(0.0, monotonic())
+        self.task = submit(self.owner.pool, make_record(StepRecord(count=1, cpu_millis=1))).tasks[0]
+        assign(self.task, self.session.load)
 
     async def test_a_start_is_not_ordered_on_a_worker_that_has_come_to_leave(self) -> None:
-        self.holder.pool.add_worker(replace(self.worker, state=WorkerState.DRAINING))
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        self.owner.pool.add_worker(replace(self.worker, state=WorkerState.DRAINING))
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
         self.assertIs(TaskState.WAITING, self.task.state)
 
     async def test_a_start_is_not_ordered_on_a_worker_that_is_to_be_emptied_by_now(self) -> None:
-        self.watch.load.evacuating = True
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        self.session.load.evacuating = True
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
 
     async def test_a_start_is_not_ordered_on_a_worker_that_is_not_listed_any_more(self) -> None:
-        self.watch.load.listed = False
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        self.session.load.listed = False
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
 
     async def test_a_start_is_not_ordered_where_the_label_has_gone(self) -> None:
         self.task.spec.required_label = "large"
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
 
     async def test_a_start_is_ordered_where_nothing_has_changed(self) -> None:
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(1, self.holder.orders.starts)
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(1, self.owner.orders.starts)
 
     async def test_a_start_is_not_ordered_once_its_account_is_over_a_fallen_limit(self) -> None:
-        limits = self.holder.pool.limits
+        limits = self.owner.pool.limits
         account = AccountId("crown")
-        job = submit(self.holder.pool, make_record(TWO_TASKS, job="2"))
+        job = submit(self.owner.pool, make_record(TWO_TASKS, job="2"))
         job.account = account
         for task in job.tasks:
-            put(task, self.watch.load)
+            assign(task, self.session.load)
         limits.set_accounts({account: ClientAccount(account, 1.0, Capacity(1500, 0))})
-        await self.watch.starts.order(job.tasks[0], 1)
-        await self.watch.starts.order(job.tasks[1], 1)
-        self.assertEqual(1, self.holder.orders.starts)
+        await self.session.starts.order(job.tasks[0], 1)
+        await self.session.starts.order(job.tasks[1], 1)
+        self.assertEqual(1, self.owner.orders.starts)
 
     async def test_a_start_under_a_limit_waits_while_the_limit_may_have_changed(self) -> None:
-        limits = self.holder.pool.limits
+        limits = self.owner.pool.limits
         account = AccountId("crown")
         self.task.job.account = account
         limits.set_accounts({account: ClientAccount(account, 1.0, Capacity(1500, 0))})
-        limits.doubtful = True
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        limits.stale = True
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
         self.assertFalse(limits.allows(account, TWO_TASKS, monotonic()))
-        limits.doubtful = False
+        limits.stale = False
         self.assertTrue(limits.allows(account, TWO_TASKS, monotonic()))
 
     async def test_a_start_whose_ticket_is_over_is_not_ordered(self) -> None:
         self.task.job.advised = True
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
 
     async def test_no_start_is_ordered_by_a_list_that_is_too_old(self) -> None:
-        self.holder.workers_age_s = self.drain_s - start_timeout_s(self.settings) + 0.01
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        self.owner.workers_age_s = self.drain_s - start_timeout_s(self.settings) + 0.01
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
 
     async def test_no_start_is_ordered_while_cancellations_may_be_unheard(self) -> None:
-        self.holder.submissions_age_s = self.settings.cancel_ms / 1000
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(0, self.holder.orders.starts)
+        self.owner.submissions_age_s = self.settings.cancel_ms / 1000
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(0, self.owner.orders.starts)
 
     async def test_the_worker_refuses_a_start_that_comes_once_its_beliefs_are_too_old(self) -> None:
-        self.holder.workers_age_s = 1.0
+        self.owner.workers_age_s = 1.0
         sent_at = monotonic()
-        await self.watch.starts.order(self.task, 1)
-        clock_ms = (sent_at - self.watch.lease.heard_at) * 1000
-        left_ms = self.holder.orders.orders[0].deadline_ms - clock_ms
+        await self.session.starts.order(self.task, 1)
+        clock_ms = (sent_at - self.session.lease.last_seen_at) * 1000
+        left_ms = self.owner.orders.orders[0].deadline_ms - clock_ms
         self.assertLess(left_ms, (self.drain_s - 1.0) * 1000)
         self.assertGreater(left_ms, (self.drain_s - 1.0) * 900)
 
@@ -144,19 +142,21 @@
             self.assertGreater(workers_max_age_s(settings), 0)
 
     def test_what_was_never_read_is_out_of_date(self) -> None:
-        self.assertTrue(Beliefs().outdated(self.settings(2000), 10.0))
+        self.assertTrue(KnownState().staleness_reason(self.settings(2000), 10.0))
 
     def test_an_order_holds_for_as_long_as_each_of_them_allows(self) -> None:
         settings = self.settings(2000)
         fresh, old = Reading(1, 10.0), Reading(1, 8.5)
-        self.assertAlmostEqual(2.0, Beliefs(fresh, fresh).hold_for_s(settings, 10.0))
-        self.assertAlmostEqual(1.5, Beliefs(fresh, old).hold_for_s(settings, 10.0))
+        self.assertAlmostEqual(2.0, KnownState(fresh, fresh).valid_for_s(settings, 10.0))
+        self.assertAlmostEqual(1.5, KnownState(fresh, old).valid_for_s(settings, 10.0))
 
     def test_each_table_is_judged(self) -> None:
         settings, fresh = self.settings(2000), Reading(1, 10.0)
-        self.assertEqual("", Beliefs(fresh, fresh).outdated(settings, 11.0))
-        self.assertIn("workers", Beliefs(Reading(1, 9.0), fresh).outdated(settings, 11.0))
-        self.assertIn("cancel", Beliefs(fresh, Reading(1, 8.0)).outdated(settings, 11.0))
+        self.assertEqual("", KnownState(fresh, fresh).staleness_reason(settings, 11.0))
+        self.assertIn(
+            "workers", KnownState(Reading(1, 9.0), fresh).staleness_reason(settings, 11.0)
+        )
+        self.assertIn("cancel", KnownState(fresh, Reading(1, 8.0)).staleness_reason(settings, 11.0))
 
 
 class KeptEmptyTest(unittest.TestCase):
@@ -170,23 +170,23 @@
         return report_pool(self.pool, 1).workers[0].evacuating
 
     def test_it_is_kept_empty_for_as_long_as_the_holder_may_act_on_it(self) -> None:
-        self.assertTrue(self.load.note_evacuation(True, monotonic()))
+        self.assertTrue(self.load.update_evacuation(True, monotonic()))
         self.assertTrue(self.told())
         now = monotonic()
-        self.load.note_evacuation(None, now)
+        self.load.update_evacuation(None, now)
         self.assertTrue(self.load.evacuating)
-        self.assertTrue(self.load.note_evacuation(None, now + ACTED_ON_S))
+        self.assertTrue(self.load.update_evacuation(None, now + REPORT_VALIDITY_S))
         self.assertFalse(self.load.evacuating)
 
     def test_meanwhile_nobody_is_told_so_again(self) -> None:
-        self.load.note_evacuation(True, monotonic())
-        self.load.note_evacuation(None, monotonic())
+        self.load.update_evacuation(True, monotonic())
+        self.load.update_evacuation(None, monotonic())
         self.assertFalse(self.told())
 
     def test_it_takes_tasks_again_as_soon_as_the_holder_says_so(self) -> None:
-        self.load.note_evacuation(True, monotonic())
+        self.load.update_evacuation(True, monotonic())
         self.assertTrue(self.told())
-        self.load.note_evacuation(False, monotonic())
+        self.load.update_evacuation(False, monotonic())
         self.assertFalse(self.load.evacuating)
 
 
--- a/tests/test_limit_model.py
+++ b/tests/test_limit_model.py
@@ -16,9 +16,9 @@
 from typing import TYPE_CHECKING
 from unittest.mock import patch
 
-from pumicespur.jobs._gifts import OtherPart
 from pumicespur.jobs._job import Job, TaskState
 from pumicespur.jobs._ledger import Ledger
+from pumicespur.jobs._limit_transfers import PeerAllotment
 from pumicespur.jobs._limits import PoolLimits
 from pumicespur.jobs._pool import PoolState
 from pumicespur.model import (
@@ -43,7 +43,7 @@
 from tests.test_jobs import CONFIGURATION, make_worker
 
 if TYPE_CHECKING:
-    from pumicespur.jobs._load import WorkerLoad
+    from pumicespur.jobs._worker_load import WorkerLoad
 
 POOLS = [PoolId("a"), PoolId("b"), PoolId("c")]
 ACCOUNTS = [AccountId("one"), AccountId("two")]
@@ -105,7 +105,7 @@
             if progress.left or name not in self.store.submissions:
                 ended.add(name)
                 for run in progress.left:
-                    self.state.inherit(AccountId(progress.account), run)
+                    self.state.add_inherited_run(AccountId(progress.account), run)
         for name, row in self.store.submissions.items():
             if name not in ended:
                 kept = self.store.progress.get(name)
@@ -137,7 +137,7 @@
         for name, row in self.store.submissions.items():
             if JobId(name) not in self.state.jobs and name not in self.store.progress:
                 self._add(JobRecord.from_binary(row), None)
-        self.state.limits.hear(self.world.heard(self), now)
+        self.state.limits.apply_reports(self.world.heard(self), now)
         self.state.place(now, 0.0)
         if held_up or self.token != self.store.token:
             return
@@ -153,7 +153,7 @@
             self.state.jobs.pop(job.id, None)
             self.store.submissions.pop(job.id, None)
             self._stop(job)
-        fresh, self.state.fresh = self.state.fresh, []
+        fresh, self.state.newly_placed = self.state.newly_placed, []
         for task in fresh:
             if task.state is TaskState.PLACED and task.worker and not task.job.ended:
                 task.state = TaskState.STARTING
@@ -177,7 +177,7 @@
         for end in ended:
             self.state.note_end(worker.worker.id, end, 0.0)
         running = {(run.task, run.number) for run in worker.runs}
-        self.state.settle_inherited(worker.worker.id, running)
+        self.state.resolve_inherited(worker.worker.id, running)
         late = {(run.task, run.number) for _, _, run in self.world.late}
         for task in list(load.tasks):
             key = (task.name, task.run)
@@ -186,8 +186,8 @@
             elif key not in late and (task.state is not TaskState.PLACED or task.job.ended):
                 self._settle(load, task.job, key)
         for run in list(worker.runs):
-            wanted = self.state.task(run.task)
-            if wanted is None or not wanted.wants(worker.worker.id, run.number):
+            wanted = self.state.find_task(run.task)
+            if wanted is None or not wanted.is_current_run(worker.worker.id, run.number):
                 worker.runs.remove(run)
 
     def _settle(self, load: WorkerLoad, job: Job, key: tuple[TaskName, int]) -> None:
@@ -195,7 +195,7 @@
         if job.ended or task.worker != load.worker.id:
             load.remove(task)
         else:
-            self.state.free(task)
+            self.state.requeue(task)
 
 
 class ModelWorld:
@@ -219,12 +219,12 @@
         self.jobs = 0
         self.broken: list[str] = []
 
-    def heard(self, owner: Owner) -> dict[AccountId, list[OtherPart]]:
+    def heard(self, owner: Owner) -> dict[AccountId, list[PeerAllotment]]:
         """Return what an owner has heard of the others' parts."""
-        found: dict[AccountId, list[OtherPart]] = {}
+        found: dict[AccountId, list[PeerAllotment]] = {}
         for pool in POOLS:
             for report in self.heard_from.get((owner.state.pool, pool), []):
-                found.setdefault(AccountId(report.account), []).append(OtherPart(pool, report))
+                found.setdefault(AccountId(report.account), []).append(PeerAllotment(pool, report))
         return found
 
     def tell(self, owner: Owner) -> None:
@@ -247,9 +247,9 @@
             case "now" if not target.silent:
                 self.carry_out(owner.token, target, run)
             case "refused" if not target.silent:
-                task = owner.state.task(run.task)
+                task = owner.state.find_task(run.task)
                 if task is not None and task.run == run.number:
-                    owner.state.free(task)
+                    owner.state.requeue(task)
             case _:
                 self.late.append((owner.token, target, run))
 
@@ -434,7 +434,7 @@
         report = PoolLimits._report
 
         def hasty(limits: PoolLimits, account: AccountId) -> PartReport:
-            ledger = limits.part_of(account).ledger
+            ledger = limits.allotment_of(account).ledger
             ledger.recorded_given = dict(ledger.given)
             return report(limits, account)
 
@@ -454,7 +454,7 @@
             self.assert_found()
 
     def test_finds_runs_of_an_earlier_owner_that_are_forgotten(self) -> None:
-        with patch.object(PoolState, "inherit", lambda pool, account, run: None):
+        with patch.object(PoolState, "add_inherited_run", lambda pool, account, run: None):
             self.assert_found()
 
     def test_finds_stopped_runs_that_are_not_counted(self) -> None:
@@ -470,5 +470,5 @@
             self.assert_found()
 
     def test_finds_parts_that_nobody_hands_on(self) -> None:
-        with patch.object(PoolLimits, "_give", lambda *arguments: None):
+        with patch.object(PoolLimits, "_decide_transfers", lambda *arguments: None):
             self.assert_found()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pumicespur.jobs._account_use import AccountUse, Use
+from pumicespur.jobs._account_usage import AccountUsage, ResourceUsage
 from pumicespur.jobs._demand import current_demand
-from pumicespur.jobs._gifts import KEEP_S, OtherPart
-from pumicespur.jobs._ledger import WHOLE, Ledger, founding_part
-from pumicespur.jobs._limits import REPORTED_ACCOUNTS, PoolLimits
-from pumicespur.jobs._shares import ShareMeter
+from pumicespur.jobs._fair_share import FairShareMeter
+from pumicespur.jobs._ledger import WHOLE_LIMIT, Ledger, founding_allotment
+from pumicespur.jobs._limit_transfers import UNUSED_RETENTION_S, PeerAllotment
+from pumicespur.jobs._limits import MAX_REPORTED_ACCOUNTS, PoolLimits
 from pumicespur.model import (
     AccountId,
     Capacity,
@@ -64,13 +64,13 @@
     """Let each pool hear once what the others told, and record what changes."""
     told = {limits.pool: limits.reports() for limits in all_limits}
     for limits in all_limits:
-        others: dict[AccountId, list[OtherPart]] = {}
+        others: dict[AccountId, list[PeerAllotment]] = {}
         for pool, reports in told.items():
             if pool != limits.pool:
                 for report in reports:
                     name = AccountId(report.account)
-                    others.setdefault(name, []).append(OtherPart(pool, report))
-        limits.hear(others, now)
+                    others.setdefault(name, []).append(PeerAllotment(pool, report))
+        limits.apply_reports(others, now)
         record_all(limits)
 
 
@@ -79,7 +79,7 @@
     limits.begin_round()
     started = 0
     while started < waiting and limits.allows(SMALL, task, now):
-        limits.use.add(SMALL, task, 1)
+        limits.usage.add(SMALL, task, 1)
         started += 1
     if started < waiting:
         limits.note_blocked(SMALL, task, waiting - started)
@@ -88,7 +88,7 @@
 
 def held(*all_limits: PoolLimits) -> list[int]:
     """Return what each pool holds."""
-    return [limits.part_of(SMALL).ledger.part for limits in all_limits]
+    return [limits.allotment_of(SMALL).ledger.allotment for limits in all_limits]
 
 
 class LedgerTest(unittest.TestCase):
@@ -97,15 +97,15 @@
     @given(st.integers(1, 40))
     def test_founding_parts_add_up_to_the_whole(self, count: int) -> None:
         pools = [PoolId(f"p{number}") for number in range(count)]
-        self.assertEqual(WHOLE, sum(founding_part(pool, pools) for pool in pools))
-        self.assertEqual(0, founding_part(PoolId("new"), pools))
+        self.assertEqual(WHOLE_LIMIT, sum(founding_allotment(pool, pools) for pool in pools))
+        self.assertEqual(0, founding_allotment(PoolId("new"), pools))
 
     def test_gift_told_twice_is_taken_once(self) -> None:
         ledger = Ledger(SMALL, 100)
         self.assertTrue(ledger.take(B, 30))
         self.assertFalse(ledger.take(B, 30))
         self.assertFalse(ledger.take(B, 20))
-        self.assertEqual(130, ledger.part)
+        self.assertEqual(130, ledger.allotment)
 
     def test_ledger_survives_being_written_and_read(self) -> None:
         ledger = Ledger(SMALL, 100)
@@ -113,14 +113,14 @@
         ledger.give(C, 50)
         again = Ledger(SMALL, 100)
         again.restore(ledger.record())
-        self.assertEqual(80, again.part)
+        self.assertEqual(80, again.allotment)
         self.assertEqual({C: 50}, again.recorded_given)
 
     def test_gift_is_told_only_once_it_is_recorded(self) -> None:
         giver, taker = make_limits(A, A, B), make_limits(B, A, B)
         start(taker, STEP, 9)
-        giver.hear({SMALL: [OtherPart(B, taker.reports()[0])]}, 0.0)
-        self.assertGreater(giver.part_of(SMALL).ledger.given[B], 0)
+        giver.apply_reports({SMALL: [PeerAllotment(B, taker.reports()[0])]}, 0.0)
+        self.assertGreater(giver.allotment_of(SMALL).ledger.given[B], 0)
         self.assertEqual([], giver._report(SMALL).transfers)
         record_all(giver)
         self.assertNotEqual([], giver._report(SMALL).transfers)
@@ -130,16 +130,16 @@
     """What an account has running."""
 
     def test_the_nearest_limit_counts(self) -> None:
-        use = Use(cpu_millis=500, memory_mb=900)
-        self.assertEqual(WHOLE * 9 // 10, use.share_of(Capacity(1000, 1000)))
-        self.assertEqual(WHOLE // 2, use.share_of(Capacity(1000, 0)))
+        use = ResourceUsage(cpu_millis=500, memory_mb=900)
+        self.assertEqual(WHOLE_LIMIT * 9 // 10, use.share_of(Capacity(1000, 1000)))
+        self.assertEqual(WHOLE_LIMIT // 2, use.share_of(Capacity(1000, 0)))
         self.assertEqual(0, use.share_of(Capacity(0, 0)))
 
     def test_shares_are_rounded_up(self) -> None:
-        self.assertEqual(WHOLE // 3 + 1, Use(cpu_millis=1).share_of(Capacity(3, 0)))
+        self.assertEqual(WHOLE_LIMIT // 3 + 1, ResourceUsage(cpu_millis=1).share_of(Capacity(3, 0)))
 
     def test_sum_that_is_back_at_nothing_is_forgotten(self) -> None:
-        use = AccountUse()
+        use = AccountUsage()
         use.add(SMALL, STEP, 2)
         use.add(SMALL, STEP, -2)
         self.assertEqual({}, dict(use.sums))
@@ -149,7 +149,7 @@
         self, each: int, limit: int, most: int
     ) -> None:
         room, task = Capacity(limit, 0), StepRecord(cpu_millis=each)
-        count = Use().fitting(room, task, most)
+        count = ResourceUsage().count_fitting(room, task, most)
         self.assertLessEqual(count * each, limit)
         self.assertTrue(count == most or (count + 1) * each > limit)
 
@@ -195,7 +195,7 @@
         exchange(*pools)
         exchange(*pools)
         self.assertEqual(6, start(pools[0], STEP, 6))
-        self.assertEqual(WHOLE, sum(held(*pools)))
+        self.assertEqual(WHOLE_LIMIT, sum(held(*pools)))
 
     def test_whole_limit_elsewhere_comes_back_as_soon_as_it_is_unused(self) -> None:
         first, second = make_limits(A, A, B), make_limits(B, A, B)
@@ -203,12 +203,12 @@
         exchange(first, second)
         exchange(first, second)
         start(first, STEP, 5)
-        self.assertEqual([WHOLE, 0], held(first, second))
-        first.use.add(SMALL, STEP, -10)
+        self.assertEqual([WHOLE_LIMIT, 0], held(first, second))
+        first.usage.add(SMALL, STEP, -10)
         first.begin_round()
         self.assertEqual(0, start(second, STEP, 2))
-        exchange(first, second, now=KEEP_S + 0.1)
-        exchange(first, second, now=KEEP_S + 0.1)
+        exchange(first, second, now=UNUSED_RETENTION_S + 0.1)
+        exchange(first, second, now=UNUSED_RETENTION_S + 0.1)
         self.assertEqual(2, start(second, STEP, 2))
 
     def test_pool_whose_account_is_busy_elsewhere_gets_half_as_runs_end(self) -> None:
@@ -219,21 +219,21 @@
         start(first, STEP, 30)
         start(second, STEP, 30)
         for _ in range(10):
-            first.use.add(SMALL, STEP, -1)
+            first.usage.add(SMALL, STEP, -1)
             start(first, STEP, 30)
             exchange(first, second)
             start(second, STEP, 30)
-        self.assertEqual([WHOLE // 2, WHOLE // 2], held(first, second))
+        self.assertEqual([WHOLE_LIMIT // 2, WHOLE_LIMIT // 2], held(first, second))
 
     def test_unused_part_is_kept_for_a_moment(self) -> None:
         first, second = make_limits(A, A, B), make_limits(B, A, B)
         start(first, STEP, 3)
-        first.use.add(SMALL, STEP, -3)
+        first.usage.add(SMALL, STEP, -3)
         start(second, STEP, 9, now=0.5)
         exchange(first, second, now=0.5)
-        self.assertEqual(WHOLE * 3 // 10, held(first)[0])
-        exchange(first, second, now=KEEP_S + 0.1)
-        self.assertLess(held(first)[0], WHOLE * 3 // 10)
+        self.assertEqual(WHOLE_LIMIT * 3 // 10, held(first)[0])
+        exchange(first, second, now=UNUSED_RETENTION_S + 0.1)
+        self.assertLess(held(first)[0], WHOLE_LIMIT * 3 // 10)
 
     def test_task_larger_than_every_part_still_starts(self) -> None:
         pools = [make_limits(pool, A, B, C) for pool in (A, B, C)]
@@ -247,17 +247,17 @@
     def test_gift_that_is_under_way_is_not_given_twice(self) -> None:
         giver, taker = make_limits(A, A, B), make_limits(B, A, B)
         start(taker, STEP, 7)
-        told = {SMALL: [OtherPart(B, taker.reports()[0])]}
+        told = {SMALL: [PeerAllotment(B, taker.reports()[0])]}
         for _ in range(3):
-            giver.hear(told, 0.0)
-        self.assertEqual(WHOLE // 5, giver.part_of(SMALL).ledger.given[B])
+            giver.apply_reports(told, 0.0)
+        self.assertEqual(WHOLE_LIMIT // 5, giver.allotment_of(SMALL).ledger.given[B])
 
     def test_giver_goes_on_telling_until_the_gift_is_taken(self) -> None:
         giver, taker = make_limits(A, A, B), make_limits(B, A, B)
         start(taker, STEP, 7)
         exchange(giver, taker)
         again = make_limits(A, A, B)
-        again.restore([giver.part_of(SMALL).ledger.record()])
+        again.restore([giver.allotment_of(SMALL).ledger.record()])
         self.assertEqual([SMALL], [report.account for report in again.reports()])
         exchange(again, taker)
         self.assertEqual(2, start(taker, STEP, 2))
@@ -269,11 +269,11 @@
     def test_reports_are_bounded(self) -> None:
         limits = PoolLimits(A)
         limits.set_founders([A, B])
-        names = [AccountId(f"account-{number:04}") for number in range(REPORTED_ACCOUNTS + 50)]
+        names = [AccountId(f"account-{number:04}") for number in range(MAX_REPORTED_ACCOUNTS + 50)]
         limits.set_accounts({name: ClientAccount(name, 1.0, Capacity(1, 0)) for name in names})
         for name in names:
             limits.note_blocked(name, STEP, 1)
-        self.assertEqual(REPORTED_ACCOUNTS, len(limits.reports()))
+        self.assertEqual(MAX_REPORTED_ACCOUNTS, len(limits.reports()))
 
 
 class PoolLimitTest(unittest.TestCase):
@@ -290,7 +290,7 @@
         return JobRecord(id=job * 16, route="quick", steps=[step], account=SMALL)
 
     def used(self, pool: PoolState) -> int:
-        return pool.limits.use.of(SMALL).cpu_millis
+        return pool.limits.usage.of(SMALL).cpu_millis
 
     def test_placement_stops_at_the_limit_and_others_go_on(self) -> None:
         submit(self.pool, self.record("1"))
@@ -335,7 +335,7 @@
         pool.limits.set_accounts(accounts(1_000))
         submit(pool, self.record("1", count=9, cpu_millis=3_000))
         run_all(pool)
-        self.assertEqual(set(), pool.limits.lacking)
+        self.assertEqual(set(), pool.limits.blocked_accounts)
 
     def test_waiting_work_beyond_the_limit_asks_for_no_workers(self) -> None:
         submit(self.pool, self.record("1", count=50))
@@ -346,8 +346,8 @@
     """Which jobs go after those of other accounts."""
 
     def beyond(self, weight: float, times_ms: list[int]) -> list[bool]:
-        meter = ShareMeter()
-        return [meter.goes_beyond(SMALL, weight, at) for at in times_ms]
+        meter = FairShareMeter()
+        return [meter.exceeds_share(SMALL, weight, at) for at in times_ms]
 
     def test_so_many_in_a_second_are_within_the_share(self) -> None:
         self.assertEqual([False] * 5 + [True] * 3, self.beyond(4.0, [1_000] * 8))
@@ -366,7 +366,7 @@
         self.assertTrue(self.calm_account_is_served())
 
     def test_finds_a_hot_account_that_goes_first(self) -> None:
-        with patch.object(ShareMeter, "goes_beyond", lambda *arguments: False):
+        with patch.object(FairShareMeter, "exceeds_share", lambda *arguments: False):
             self.assertFalse(self.calm_account_is_served())
 
     def calm_account_is_served(self) -> bool:
@@ -406,7 +406,7 @@
         self.pool.limits.set_accounts(accounts(3_000))
 
     def used(self) -> int:
-        return self.pool.limits.use.of(SMALL).cpu_millis
+        return self.pool.limits.usage.of(SMALL).cpu_millis
 
     def progress(self) -> ProgressRecord:
         return ProgressRecord.from_binary(self.job.progress(0).to_binary())
@@ -427,17 +427,17 @@
         progress = self.progress()
         self.assertEqual(JobPhase.CANCELLED, progress.phase)
         for run in progress.left:
-            self.pool.inherit(AccountId(progress.account), run)
+            self.pool.add_inherited_run(AccountId(progress.account), run)
         self.assertEqual(3_000, self.used())
         still = {(task.name, task.run) for task in self.job.tasks[:1]}
-        self.pool.settle_inherited(WorkerId("w-1"), still)
+        self.pool.resolve_inherited(WorkerId("w-1"), still)
         self.assertEqual(1_000, self.used())
-        self.pool.settle_inherited(WorkerId("w-1"))
+        self.pool.resolve_inherited(WorkerId("w-1"))
         self.assertEqual(0, self.used())
 
     def test_report_of_part_tells_what_is_used(self) -> None:
-        for run in self.progress().left or self.job.left_runs():
-            self.pool.inherit(SMALL, run)
-        self.pool.limits.asked = {SMALL}
+        for run in self.progress().left or self.job.outstanding_runs():
+            self.pool.add_inherited_run(SMALL, run)
+        self.pool.limits.awaited_accounts = {SMALL}
         report: PartReport = self.pool.limits.reports()[0]
-        self.assertEqual(WHOLE, report.used)
+        self.assertEqual(WHOLE_LIMIT, report.used)
--- a/tests/test_lives_model.py
+++ b/tests/test_lives_model.py
@@ -23,7 +23,7 @@
 from expression import Error, Ok, Result
 
 import pumicespur.jobs._pool as pool_module
-import pumicespur.jobs._watch as watch_module
+import pumicespur.jobs._worker_session as watch_module
 from pumicespur.config import NodeSettings
 from pumicespur.jobs import Ownership, OwnershipLostError, PoolOwner
 from pumicespur.jobs._lease import EarlierLeases
@@ -329,7 +329,7 @@
         while True:
             self.view.workers_reading = Reading(1, monotonic())
             if self.owner is not None:
-                self.owner.intake.reading = Reading(1, monotonic())
+                self.owner.submissions.reading = Reading(1, monotonic())
             await anyio.sleep(READ_S)
 
     async def _hand_in(self) -> None:
@@ -432,10 +432,12 @@
 
     def setUp(self) -> None:
         stack = ExitStack()
-        for name, value in (("RETRY_S", 0.005), ("OPEN_STARTS_S", 0.002)):
+        for name, value in (("RETRY_DELAY_S", 0.005), ("UNCONFIRMED_POLL_DELAY_S", 0.002)):
             stack.enter_context(mock.patch.object(watch_module, name, value))
         # Workers crash here more often than a task may lose them before its job is given up.
-        stack.enter_context(mock.patch.object(pool_module, "is_hopeless", lambda task: False))
+        stack.enter_context(
+            mock.patch.object(pool_module, "exceeds_loss_limit", lambda task: False)
+        )
         self.addCleanup(stack.close)
 
     def play(self, seeds: Iterable[int], workers: type[ModelWorkers], calm_s: float) -> list[str]:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pumicespur.jobs._placement import order_groups, put
+from pumicespur.jobs._placement import assign, order_groups
 from pumicespur.schema.jobs_pb import StepRecord
 from tests.test_jobs import make_pool, make_record, make_worker, submit
 
@@ -29,19 +29,19 @@
     found = []
     for group in order_groups(pool.jobs.values(), 0.0):
         for task in group.waiting():
-            able = [load for load in pool.loads.values() if load.takes(group, 0.0)]
-            if not able:
+            eligible = [load for load in pool.loads.values() if load.can_take(group, 0.0)]
+            if not eligible:
                 break
             rack = group.spec.data_rack
             load = min(
-                able,
+                eligible,
                 key=lambda load: (
                     bool(rack) and load.worker.rack != rack,
-                    -load.share(),
+                    -load.utilization(),
                     load.worker.id,
                 ),
             )
-            put(task, load)
+            assign(task, load)
             found.append((str(task.name), str(load.worker.id)))
     return found
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from pumicespur.jobs import PoolOwner
-from pumicespur.jobs._load import WorkerLoad
+from pumicespur.jobs._worker_load import WorkerLoad
 from pumicespur.model import Configuration, PoolId, PoolSettings, WorkerName, WorkerState, worker_id
 from pumicespur.node._workers import WorkerList
 from pumicespur.platform import decode_worker
