--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -25,8 +25,8 @@
 
 from pumicespur.jobs import PoolOwner
 from pumicespur.jobs._lease import EarlierLeases
-from pumicespur.jobs._load import WorkerLoad
 from pumicespur.jobs._restarts import Restarts
+from pumicespur.jobs._worker_load import WorkerLoad
 from pumicespur.model import Configuration, PoolSettings, WorkerName, worker_id
 from pumicespur.schema.node_pb import WorkerSettings
 from pumicespur.utils import now_ms
@@ -214,42 +214,42 @@
 
     def test_an_entry_of_a_life_that_is_over_is_out_of_date(self) -> None:
         before, after = self.lives
-        self.restarts.note(before.id, 200.0, leased=True)
+        self.restarts.note_ended(before.id, 200.0, leased=True)
         listed = {worker.id: worker for worker in self.lives}
-        self.assertEqual([after], self.restarts.living(listed))
+        self.assertEqual([after], self.restarts.current_incarnations(listed))
 
     def test_an_entry_of_before_ends_no_life(self) -> None:
         before, after = self.lives
-        self.restarts.note(before.id, 200.0, leased=True)
+        self.restarts.note_ended(before.id, 200.0, leased=True)
         pools = {POOL: PoolSettings(POOL, True, False)}
         view = NodeView(Configuration(1, {}, pools), workers={before.name: before})
         owner: Any = SimpleNamespace(view=view, restarts=self.restarts)
         watch: Any = SimpleNamespace(id=after.id, load=WorkerLoad(after))
-        self.assertFalse(PoolOwner._has_next_life(owner, watch))
+        self.assertFalse(PoolOwner._has_next_incarnation(owner, watch))
         newer = make_worker(worker_id(before.name, 10**13))
         view.workers = {newer.name: newer}
-        self.assertTrue(PoolOwner._has_next_life(owner, watch))
+        self.assertTrue(PoolOwner._has_next_incarnation(owner, watch))
 
     def test_a_next_life_may_hold_a_lease_as_long_as_any(self) -> None:
         before, after = self.lives
-        self.assertEqual(100.0, self.restarts.leases_of(after, 200.0).until)
-        self.restarts.note(before.id, 200.0, leased=True)
-        self.assertEqual(210.5, self.restarts.leases_of(after, 200.0).until)
+        self.assertEqual(100.0, self.restarts.unknown_leases(after, 200.0).until)
+        self.restarts.note_ended(before.id, 200.0, leased=True)
+        self.assertEqual(210.5, self.restarts.unknown_leases(after, 200.0).until)
 
     def test_a_next_life_that_no_deadline_reached_holds_none(self) -> None:
         before, after = self.lives
-        self.restarts.note(before.id, 200.0, leased=False)
-        self.assertEqual(100.0, self.restarts.leases_of(after, 200.0).until)
+        self.restarts.note_ended(before.id, 200.0, leased=False)
+        self.assertEqual(100.0, self.restarts.unknown_leases(after, 200.0).until)
 
     def test_a_young_life_may_too_where_an_earlier_owner_dealt_with_the_worker(self) -> None:
         before, after = self.lives
-        self.assertEqual(100.0, self.restarts.leases_of(before, 50.0).until)
-        self.assertEqual(100.0, self.restarts.leases_of(after, 50.0).until)
-        self.assertEqual(105.5, self.restarts.leases_of(after, 95.0).until)
+        self.assertEqual(100.0, self.restarts.unknown_leases(before, 50.0).until)
+        self.assertEqual(100.0, self.restarts.unknown_leases(after, 50.0).until)
+        self.assertEqual(105.5, self.restarts.unknown_leases(after, 95.0).until)
 
     def test_open_starts_of_a_worker_that_does_not_come_back_are_outwaited(self) -> None:
         before, _ = self.lives
-        self.restarts.note(before.id, 200.0, leased=True)
-        self.assertEqual(set(), self.restarts.take_outwaited(209.0))
-        self.assertEqual({before.id}, self.restarts.take_outwaited(210.5))
-        self.assertEqual(set(), self.restarts.take_outwaited(230.0))
+        self.restarts.note_ended(before.id, 200.0, leased=True)
+        self.assertEqual(set(), self.restarts.take_expired(209.0))
+        self.assertEqual({before.id}, self.restarts.take_expired(210.5))
+        self.assertEqual(set(), self.restarts.take_expired(230.0))
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -16,16 +16,16 @@
 
 from pumicespur.jobs._job import TaskState
 from pumicespur.jobs._lease import EarlierLeases
-from pumicespur.jobs._placement import put
-from pumicespur.jobs._starts import UnansweredStart
-from pumicespur.jobs._watch import WorkerWatch
+from pumicespur.jobs._placement import assign
+from pumicespur.jobs._unconfirmed_starts import UnresolvedStart
+from pumicespur.jobs._worker_session import WorkerSession
 from pumicespur.model import Account, Capacity, Running, TaskName
 from pumicespur.schema.jobs_pb import StepRecord
 from pumicespur.utils import monotonic
 from tests.base import quiet_loop
 from tests.test_jobs import make_record, make_worker, submit
 from tests.test_node import STEP, NodeCase, job_id
-from tests.test_watch import ScriptedHolder
+from tests.test_watch import ScriptedOwner
 
 ROOM = 1000
 
@@ -35,70 +35,70 @@
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
-        self.holder = ScriptedHolder()
+        self.owner = ScriptedOwner()
         self.worker = make_worker("w", cpu=ROOM)
-        self.watch = WorkerWatch(self.holder, self.worker, EarlierLeases(0.0))
-        self.watch.load.reachable = True
-        self.watch.lease.note(0.0, monotonic())
-        self.job = submit(self.holder.pool, make_record(StepRecord(count=3, cpu_millis=500)))
+        self.session = WorkerSession(self.owner, self.worker, EarlierLeases(0.0))
+        self.session.load.reachable = True
+        self.session.lease.note_clock(0.0, monotonic())
+        self.job = submit(self.owner.pool, make_record(StepRecord(count=3, cpu_millis=500)))
 
     def shrink(self, cpu: int) -> None:
         smaller = replace(self.worker, capacity=Capacity(cpu, 8000))
-        self.holder.pool.add_worker(smaller)
+        self.owner.pool.add_worker(smaller)
 
     async def account(self, *runs: Running) -> None:
         answer = Account(monotonic() * 1000, list(runs), [])
-        await self.watch._take_in(answer, monotonic())
+        await self.session._apply_status(answer, monotonic())
 
     async def test_start_is_taken_back_when_the_room_shrank_meanwhile(self) -> None:
         first, second, _ = self.job.tasks
         for task in (first, second):
-            put(task, self.watch.load)
-        await self.watch.starts.order(first, 1)
+            assign(task, self.session.load)
+        await self.session.starts.order(first, 1)
         self.shrink(500)
-        await self.watch.starts.order(second, 1)
-        self.assertEqual(1, self.holder.orders.starts)
+        await self.session.starts.order(second, 1)
+        self.assertEqual(1, self.owner.orders.starts)
         self.assertIs(TaskState.WAITING, second.state)
-        self.assertEqual(500, self.watch.load.cpu_millis)
+        self.assertEqual(500, self.session.load.cpu_millis)
 
     async def test_room_that_grows_again_is_used(self) -> None:
         self.shrink(500)
-        self.assertEqual(1, len(self.holder.pool.place(monotonic(), 0.0)))
+        self.assertEqual(1, len(self.owner.pool.place(monotonic(), 0.0)))
         self.shrink(ROOM)
-        self.assertEqual(1, len(self.holder.pool.place(monotonic(), 0.0)))
+        self.assertEqual(1, len(self.owner.pool.place(monotonic(), 0.0)))
 
     async def test_start_on_its_way_counts_after_its_job_was_cancelled(self) -> None:
         task = self.job.tasks[0]
-        put(task, self.watch.load)
+        assign(task, self.session.load)
         released = asyncio.Event()
 
         async def slow_start(*_: Any) -> Result[None, Any]:
             await released.wait()
             return Ok(None)
 
-        self.holder.orders.start = slow_start
-        ordering = asyncio.create_task(self.watch.starts.order(task, 1))
+        self.owner.orders.start = slow_start
+        ordering = asyncio.create_task(self.session.starts.order(task, 1))
         await asyncio.sleep(0)
-        self.holder.pool.cancel(self.job)
+        self.owner.pool.cancel(self.job)
         await self.account()
-        self.assertEqual(500, self.watch.load.cpu_millis)
+        self.assertEqual(500, self.session.load.cpu_millis)
         released.set()
         await ordering
 
     async def test_start_without_an_answer_counts_after_its_job_was_cancelled(self) -> None:
         task = self.job.tasks[0]
-        put(task, self.watch.load)
+        assign(task, self.session.load)
         task.state = TaskState.STARTING
-        self.watch.starts.unsettled[task] = UnansweredStart(1, monotonic() + 60)
-        self.holder.pool.cancel(self.job)
+        self.session.starts.unresolved[task] = UnresolvedStart(1, monotonic() + 60)
+        self.owner.pool.cancel(self.job)
         await self.account()
-        self.assertEqual(500, self.watch.load.cpu_millis)
+        self.assertEqual(500, self.session.load.cpu_millis)
 
     async def test_run_of_which_nothing_is_known_closes_the_worker_until_it_is_gone(self) -> None:
         await self.account(Running(TaskName("f" * 16 + ".0.0.0"), 1, "", 5, 0.0))
-        self.assertEqual([], self.holder.pool.place(monotonic(), 0.0))
+        self.assertEqual([], self.owner.pool.place(monotonic(), 0.0))
         await self.account()
-        self.assertEqual(2, len(self.holder.pool.place(monotonic(), 0.0)))
+        self.assertEqual(2, len(self.owner.pool.place(monotonic(), 0.0)))
 
 
 class ShrunkWorkerTest(NodeCase):
--- a/tests/test_takeover_model.py
+++ b/tests/test_takeover_model.py
@@ -166,10 +166,12 @@
         return anyio.run(search)
 
     def setUp(self) -> None:
-        pauses = (module.RETRY_S, module.MAX_RETRY_S)
-        module.RETRY_S = module.MAX_RETRY_S = 0.0
+        pauses = (module.RETRY_DELAY_S, module.MAX_RETRY_DELAY_S)
+        module.RETRY_DELAY_S = module.MAX_RETRY_DELAY_S = 0.0
         self.addCleanup(
-            lambda: module.__dict__.update(zip(("RETRY_S", "MAX_RETRY_S"), pauses, strict=True))
+            lambda: module.__dict__.update(
+                zip(("RETRY_DELAY_S", "MAX_RETRY_DELAY_S"), pauses, strict=True)
+            )
         )
 
     def test_commits_apply_once_and_never_after_a_takeover(self) -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -8,12 +8,12 @@
 
 from expression import Error, Ok, Result
 
-from pumicespur.jobs._beliefs import Beliefs
-from pumicespur.jobs._job import Loss, TaskState
+from pumicespur.jobs._job import TaskState, WorkerLoss
+from pumicespur.jobs._known_state import KnownState
 from pumicespur.jobs._lease import EarlierLeases
-from pumicespur.jobs._placement import put
-from pumicespur.jobs._starts import UnansweredStart
-from pumicespur.jobs._watch import WorkerWatch
+from pumicespur.jobs._placement import assign
+from pumicespur.jobs._unconfirmed_starts import UnresolvedStart
+from pumicespur.jobs._worker_session import WorkerSession
 from pumicespur.model import (
     Account,
     RunEnd,
@@ -78,7 +78,7 @@
         return Ok(None)
 
 
-class ScriptedHolder:
+class ScriptedOwner:
     """A pool's owner without rounds."""
 
     def __init__(self) -> None:
@@ -92,14 +92,14 @@
         self.submissions_age_s = 0.0
         self.restarted: list[tuple[WorkerId, bool]] = []
 
-    def beliefs(self) -> Beliefs:
+    def known_state(self) -> KnownState:
         """Know everything as of now, unless a test sets ages."""
         now = monotonic()
-        return Beliefs(
+        return KnownState(
             Reading(1, now - self.workers_age_s), Reading(1, now - self.submissions_age_s), 1
         )
 
-    def may_extend(self, now: float) -> bool:
+    def may_renew_leases(self, now: float) -> bool:
         """Extend leases always."""
         return True
 
@@ -120,7 +120,7 @@
         """Take note."""
         self.restarted.append((worker, leased))
 
-    def note_barred(self, worker: WorkerId, run: Any) -> None:
+    def note_revoked(self, worker: WorkerId, run: Any) -> None:
         """Do nothing."""
 
     def forget(self, worker: WorkerId) -> None:
@@ -132,25 +132,25 @@
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
-        self.holder = ScriptedHolder()
+        self.owner = ScriptedOwner()
         worker = make_worker("w")
-        self.watch = WorkerWatch(self.holder, worker, EarlierLeases(0.0))
-        job = submit(self.holder.pool, make_record(StepRecord(count=1, cpu_millis=100)))
+        self.session = WorkerSession(self.owner, worker, EarlierLeases(0.0))
+        job = submit(self.owner.pool, make_record(StepRecord(count=1, cpu_millis=100)))
         self.task: Task = job.tasks[0]
-        put(self.task, self.watch.load)
+        assign(self.task, self.session.load)
         self.task.state = TaskState.STARTING
-        self.watch.starts.unsettled[self.task] = UnansweredStart(self.task.run, monotonic())
+        self.session.starts.unresolved[self.task] = UnresolvedStart(self.task.run, monotonic())
 
     def name(self) -> TaskName:
         return self.task.name
 
     async def look(self) -> None:
-        await self.watch._look(monotonic())
+        await self.session._poll(monotonic())
 
     async def test_run_that_ended_before_the_stop_is_not_started_again(self) -> None:
         # A task was done twice.
         end = TaskEnd(1, self.name(), 1, RunEnd.DONE, "")
-        self.holder.orders.ended_before_stop = end
+        self.owner.orders.ended_before_stop = end
         await self.look()
         self.assertIs(TaskState.STARTING, self.task.state)
         await self.look()
@@ -160,14 +160,14 @@
         await self.look()
         await self.look()
         self.assertIs(TaskState.WAITING, self.task.state)
-        self.assertEqual(1, self.holder.orders.stops)
-        self.assertEqual({}, self.watch.starts.unsettled)
+        self.assertEqual(1, self.owner.orders.stops)
+        self.assertEqual({}, self.session.starts.unresolved)
 
     async def test_account_asked_for_before_the_call_was_given_up_tells_nothing(self) -> None:
         # A lasting task that had just begun was stopped: an older account did not list it.
-        self.watch.starts.unsettled[self.task].since = monotonic() + 60
+        self.session.starts.unresolved[self.task].since = monotonic() + 60
         await self.look()
-        self.assertEqual(0, self.holder.orders.stops)
+        self.assertEqual(0, self.owner.orders.stops)
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
@@ -175,31 +175,31 @@
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
-        self.holder = ScriptedHolder()
-        self.watch = WorkerWatch(self.holder, make_worker("w"), EarlierLeases(0.0))
-        self.watch.load.reachable = True
-        self.watch.lease.note(0.0, monotonic())
+        self.owner = ScriptedOwner()
+        self.session = WorkerSession(self.owner, make_worker("w"), EarlierLeases(0.0))
+        self.session.load.reachable = True
+        self.session.lease.note_clock(0.0, monotonic())
         record = make_record(StepRecord(count=2, cpu_millis=100))
-        self.job = submit(self.holder.pool, record)
+        self.job = submit(self.owner.pool, record)
         self.task = self.job.tasks[0]
 
     async def test_task_that_an_earlier_run_finished_stays_done(self) -> None:
         # An earlier run ended while the place of its copy was recorded; the next owner ran the task
         # once more.
-        put(self.task, self.watch.load)
-        self.task.release()
-        put(self.task, self.watch.load)
+        assign(self.task, self.session.load)
+        self.task.mark_waiting()
+        assign(self.task, self.session.load)
         earlier = TaskEnd(1, self.task.name, 1, RunEnd.DONE, "")
-        self.holder.pool.note_end(self.watch.id, earlier, monotonic())
-        await self.watch.starts.order(self.task, 2)
+        self.owner.pool.note_end(self.session.id, earlier, monotonic())
+        await self.session.starts.order(self.task, 2)
         self.assertIs(TaskState.DONE, self.task.state)
-        self.assertEqual(0, self.holder.orders.starts)
+        self.assertEqual(0, self.owner.orders.starts)
         self.assertEqual(b"\x01", self.job.progress(0).done)
 
     async def test_placed_task_is_ordered(self) -> None:
-        put(self.task, self.watch.load)
-        await self.watch.starts.order(self.task, 1)
-        self.assertEqual(1, self.holder.orders.starts)
+        assign(self.task, self.session.load)
+        await self.session.starts.order(self.task, 1)
+        self.assertEqual(1, self.owner.orders.starts)
         self.assertIs(TaskState.RUNNING, self.task.state)
 
 
@@ -208,18 +208,18 @@
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
-        self.holder = ScriptedHolder()
-        self.orders = self.holder.orders
-        self.watch = WorkerWatch(self.holder, make_worker("w"), EarlierLeases(0.0))
-        job = submit(self.holder.pool, make_record(StepRecord(count=2, cpu_millis=100)))
+        self.owner = ScriptedOwner()
+        self.orders = self.owner.orders
+        self.session = WorkerSession(self.owner, make_worker("w"), EarlierLeases(0.0))
+        job = submit(self.owner.pool, make_record(StepRecord(count=2, cpu_millis=100)))
         self.first, self.second = job.tasks
 
     async def look(self) -> None:
-        await self.watch._look(monotonic())
+        await self.session._poll(monotonic())
 
     async def begin(self, task: Task) -> None:
-        put(task, self.watch.load)
-        await self.watch.starts.order(task, task.run)
+        assign(task, self.session.load)
+        await self.session.starts.order(task, task.run)
 
     async def end_first(self) -> None:
         """Let one of two tasks end after both were seen at work."""
@@ -230,7 +230,7 @@
 
     async def test_recorded_ends_are_acknowledged(self) -> None:
         await self.end_first()
-        self.watch.note_recorded(1)
+        self.session.note_recorded(1)
         await self.look()
         self.assertEqual([0, 0, 1], self.orders.last_seen)
 
@@ -238,7 +238,7 @@
         # The start may have reached a life that began meanwhile and numbers its ends anew.
         await self.end_first()
         await self.begin(self.second)
-        self.watch.note_recorded(1)
+        self.session.note_recorded(1)
         await self.look()
         self.assertEqual(0, self.orders.last_seen[-1])
         self.orders.running = [Running(self.second.name, 1, "", 0, 0.0)]
@@ -248,7 +248,7 @@
 
     async def test_nor_what_was_acknowledged_before(self) -> None:
         await self.end_first()
-        self.watch.note_recorded(1)
+        self.session.note_recorded(1)
         await self.look()
         await self.begin(self.second)
         await self.look()
@@ -256,7 +256,7 @@
 
     async def test_not_after_a_silence(self) -> None:
         await self.end_first()
-        self.watch.note_recorded(1)
+        self.session.note_recorded(1)
         self.orders.faults = [AnswerLost("silent")]
         for _ in range(3):
             await self.look()
@@ -268,29 +268,29 @@
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
-        self.holder = ScriptedHolder()
-        self.orders = self.holder.orders
-        self.watch = WorkerWatch(self.holder, make_worker("w"), EarlierLeases(0.0))
-        await self.watch._look(monotonic())
+        self.owner = ScriptedOwner()
+        self.orders = self.owner.orders
+        self.session = WorkerSession(self.owner, make_worker("w"), EarlierLeases(0.0))
+        await self.session._poll(monotonic())
 
     async def test_it_is_promised_nothing_more(self) -> None:
         self.orders.faults = [AnswerLost("silent"), AnswerLost("silent")]
-        await self.watch._look(monotonic())
-        over_at = self.watch.lease.over_at()
-        await self.watch._look(monotonic())
+        await self.session._poll(monotonic())
+        expires_at = self.session.lease.expires_at()
+        await self.session._poll(monotonic())
         self.assertIsNone(self.orders.deadlines[-1])
-        self.assertEqual(over_at, self.watch.lease.over_at())
+        self.assertEqual(expires_at, self.session.lease.expires_at())
 
     async def test_a_next_life_that_is_met_after_a_silence_holds_no_lease(self) -> None:
         self.orders.faults = [AnswerLost("silent"), StartedAgain()]
-        await self.watch._look(monotonic())
-        await self.watch._look(monotonic())
-        self.assertEqual([(self.watch.id, False)], self.holder.restarted)
+        await self.session._poll(monotonic())
+        await self.session._poll(monotonic())
+        self.assertEqual([(self.session.id, False)], self.owner.restarted)
 
     async def test_one_that_took_a_deadline_may_hold_one(self) -> None:
         self.orders.faults = [StartedAgain()]
-        await self.watch._look(monotonic())
-        self.assertEqual([(self.watch.id, True)], self.holder.restarted)
+        await self.session._poll(monotonic())
+        self.assertEqual([(self.session.id, True)], self.owner.restarted)
 
 
 class NextLifeTest(unittest.IsolatedAsyncioTestCase):
@@ -298,29 +298,29 @@
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
-        self.holder = ScriptedHolder()
-        self.orders = self.holder.orders
+        self.owner = ScriptedOwner()
+        self.orders = self.owner.orders
         first, second = (worker_id(WorkerName("w"), born) for born in (1000, 2000))
-        self.before = WorkerWatch(self.holder, make_worker(first), EarlierLeases(0.0))
-        job = submit(self.holder.pool, make_record(StepRecord(count=2, cpu_millis=100)))
+        self.before = WorkerSession(self.owner, make_worker(first), EarlierLeases(0.0))
+        job = submit(self.owner.pool, make_record(StepRecord(count=2, cpu_millis=100)))
         self.seen, self.open = job.tasks
-        await self.before._look(monotonic())
+        await self.before._poll(monotonic())
         for task in job.tasks:
-            put(task, self.before.load)
+            assign(task, self.before.load)
             await self.before.starts.order(task, 1)
             if task is self.seen:
                 self.orders.running = [Running(task.name, 1, "", 0, 0.0)]
-                await self.before._look(monotonic())
+                await self.before._poll(monotonic())
         self.orders.running = []
         self.orders.faults = [StartedAgain()]
-        await self.before._look(monotonic())
-        self.after = WorkerWatch(self.holder, make_worker(second), EarlierLeases(0.0))
+        await self.before._poll(monotonic())
+        self.after = WorkerSession(self.owner, make_worker(second), EarlierLeases(0.0))
 
     async def look(self) -> None:
-        await self.after._look(monotonic())
+        await self.after._poll(monotonic())
 
     async def test_what_the_life_before_told_of_is_lost_with_it(self) -> None:
-        self.assertEqual([(self.before.id, True)], self.holder.restarted)
+        self.assertEqual([(self.before.id, True)], self.owner.restarted)
         self.assertIs(TaskState.WAITING, self.seen.state)
 
     async def test_an_open_start_waits_for_what_the_next_life_tells(self) -> None:
@@ -333,7 +333,9 @@
         self.assertEqual([self.before.id], [loss.worker for loss in self.open.losses])
 
     async def test_an_open_start_that_the_next_life_took_goes_on(self) -> None:
-        self.open.losses = [Loss(self.before.id, self.before.load.instance, alone=True)]
+        self.open.losses = [
+            WorkerLoss(self.before.id, self.before.load.instance, sole_suspect=True)
+        ]
         self.after.starts.adopt(self.open, monotonic())
         self.orders.running = [Running(self.open.name, 1, "", 0, 0.0)]
         await self.look()
