--- a/pumicespur/commands/explain.py
+++ b/pumicespur/commands/explain.py
@@ -23,7 +23,7 @@
         "commit not answered",
         "worker lost",
         "worker gone",
-        "worker left out",
+        "worker ejected",
         "configuration in force",
     }
 )
--- a/pumicespur/jobs/_account_report.py
+++ b/pumicespur/jobs/_account_report.py
@@ -1,4 +1,4 @@
-"""What operators are told of accounts in the pools that a process owns."""
+"""Metrics and descriptions of accounts in owned pools, for operators."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from pumicespur.schema.jobs_pb import PoolReport
 
 MAX_NAMED_ACCOUNTS = 20
-"""Accounts that are told of by name: those with the most running. The rest is summed, so that no
-number of accounts swells a dump or a page of metrics."""
+"""Accounts that are listed by name, those with the highest usage. The rest is summed up, which
+bounds the size of dumps and metrics."""
 
 OTHERS = "(others)"
 
 
 def _largest(pool: PoolState) -> tuple[list[tuple[AccountId, ResourceUsage]], ResourceUsage]:
-    """Return the accounts with the most running, and the sum of all others."""
+    """Return the accounts with the highest processor usage, and the sum of all others."""
     sums = sorted(
         pool.limits.usage.sums.items(), key=lambda entry: (-entry[1].cpu_millis, entry[0])
     )
@@ -42,7 +42,7 @@
 
 
 def count_accounts(pool: PoolState) -> None:
-    """Bring the gauges of accounts in line."""
+    """Update the gauges of accounts."""
     largest, others = _largest(pool)
     for account, used in largest:
         labels = {"pool": pool.pool, "account": account}
@@ -55,7 +55,7 @@
 
 
 def describe_accounts(pool: PoolState) -> dict[str, dict[str, object]]:
-    """Return what accounts have running in a pool and what of their limits it holds."""
+    """Return the usage and the limits of accounts in a pool, for JSON."""
     largest, others = _largest(pool)
     found = {str(account): _describe(pool, account, used) for account, used in largest}
     for account in sorted(pool.limits.blocked_accounts)[:MAX_NAMED_ACCOUNTS]:
@@ -88,7 +88,7 @@
 def describe_hold(
     pool: PoolState, job: Job, reports: Mapping[PoolId, PoolReport]
 ) -> dict[str, object]:
-    """Tell whether an account's limit holds a job's tasks back, and which pools have its parts."""
+    """Describe whether an account's limit blocks a job, and the allotments of all pools."""
     described: dict[str, object] = {"beyond_share": job.exceeds_share}
     if job.account not in pool.limits.blocked_accounts:
         return described
--- a/pumicespur/jobs/_account_usage.py
+++ b/pumicespur/jobs/_account_usage.py
@@ -1,4 +1,4 @@
-"""What each account has running in a pool, or may have running."""
+"""Resources used by each account in a pool."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class ResourceUsage:
-    """A sum over tasks, in thousandths of a core, in MB and in accelerators."""
+    """Resources of a sum of tasks: thousandths of a core, MB and accelerators."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
@@ -23,16 +23,17 @@
     tasks: int = 0
 
     def add(self, task: StepRecord | LeftRun, count: int = 1) -> None:
-        """Count tasks that are alike; a negative number counts them no longer."""
+        """Add `count` equal tasks; a negative count removes them."""
         self.cpu_millis += count * task.cpu_millis
         self.memory_mb += count * task.memory_mb
         self.accelerators += count * task.accelerators
         self.tasks += count
 
     def share_of(self, limit: Capacity, more: StepRecord | None = None, count: int = 1) -> int:
-        """Return the share of a limit, by what is nearest to it; of `WHOLE`, rounded up.
+        """Return the used share of a limit, as a part of `WHOLE_LIMIT`, rounded up.
 
-        `count` tasks like `more` are counted as well. What has no limit takes no share.
+        The resource that is nearest to its limit counts; resources without a limit don't. `count`
+        tasks like `more` are included.
         """
         cpu, memory, accelerators = self.cpu_millis, self.memory_mb, self.accelerators
         if more is not None:
@@ -47,7 +48,7 @@
         return max(shares)
 
     def count_fitting(self, limit: Capacity, task: StepRecord, max_count: int) -> int:
-        """Return how many more such tasks a limit has room for, `most` at most."""
+        """Return how many more such tasks fit the limit, up to `max_count`."""
         left = (
             _count_fitting(limit.cpu_millis, self.cpu_millis, task.cpu_millis, max_count),
             _count_fitting(limit.memory_mb, self.memory_mb, task.memory_mb, max_count),
@@ -67,13 +68,13 @@
 
 
 class AccountUsage:
-    """Sums by account. What may have been started counts until it is known to be over."""
+    """Usage by account. Runs that may have started count until they are known to be over."""
 
     def __init__(self) -> None:
         self.sums: defaultdict[AccountId, ResourceUsage] = defaultdict(ResourceUsage)
 
     def add(self, account: AccountId, task: StepRecord | LeftRun, count: int) -> None:
-        """Count tasks of an account, or, by a negative number, count them no longer."""
+        """Add `count` equal tasks of an account; a negative count removes them."""
         if not account:
             return
         used = self.sums[account]
@@ -82,9 +83,9 @@
             del self.sums[account]
 
     def of(self, account: AccountId) -> ResourceUsage:
-        """Return what an account has."""
+        """Return the usage of an account."""
         return self.sums.get(account, NO_USAGE)
 
 
 NO_USAGE = ResourceUsage()
-"""The use of an account that has nothing running."""
+"""Usage of an account without tasks."""
--- a/pumicespur/jobs/_allotment_exchange.py
+++ b/pumicespur/jobs/_allotment_exchange.py
@@ -1,4 +1,4 @@
-"""How the parts of accounts' limits reach the store and the owners of other pools."""
+"""Exchange of allotments of account limits with the store and the owners of other pools."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 log = Logger(__name__)
 
 RETRY_DELAY_S = 0.2
-"""Pause after a fault of the store."""
+"""Pause after an error of the store."""
 
 PARTS_MAX_AGE_S = 3.0
-"""Oldest report that counts: some heartbeats. A gift is told until it is known to be taken."""
+"""Oldest report that is applied: a few heartbeats. Transfers are reported until they are known to
+be taken, so that none is missed."""
 
 
 class AllotmentExchange:
-    """Reads, records and exchanges the parts that one pool holds."""
+    """Reads, records and exchanges the allotments of one pool."""
 
     def __init__(
         self,
@@ -46,26 +47,26 @@
         self.table = table
         self.view = view
         self.request_report = request_report
-        """Asks for a report at once."""
+        """Requests a report at once."""
         self.reported_accounts: set[AccountId] = set()
-        """Accounts that the last report told of."""
+        """Accounts in the last report."""
 
     async def load(self) -> None:
-        """Read what earlier owners recorded; nothing of theirs can follow any more."""
+        """Read the ledgers of earlier owners, which can no longer record anything."""
         self.limits.set_accounts(self.view.configuration.accounts)
         self.limits.set_founders(await self._read_founders())
         while True:
-            kept = await self.table.scan(PARTS_TABLE, self.limits.pool)
-            match kept:
+            scanned = await self.table.scan(PARTS_TABLE, self.limits.pool)
+            match scanned:
                 case Result(tag="ok", ok=page):
                     records = [PartRecord.from_binary(row.value) for row in page.rows]
                     self.limits.restore(records)
                     return
-                case Result(error=fault):
-                    await self._wait_to_retry(str(fault))
+                case Result(error=error):
+                    await self._wait_to_retry(str(error))
 
     async def _read_founders(self) -> list[PoolId]:
-        """Return which pools held equal parts at first; whoever asks first decides that."""
+        """Return the pools with equal initial allotments, which the first owner to ask records."""
         while True:
             found = await self.table.read(FOUNDERS_KEY)
             match found:
@@ -74,33 +75,33 @@
                     return [PoolId(pool) for pool in record.pools]
                 case Result(tag="ok"):
                     await self._write_founders()
-                case Result(error=fault):
-                    await self._wait_to_retry(str(fault))
+                case Result(error=error):
+                    await self._wait_to_retry(str(error))
 
     async def _write_founders(self) -> None:
-        """Write the founders unless another owner has; the row is read again in any case."""
+        """Write the founders unless another owner has; the caller reads the row again."""
         write = Write(FOUNDERS_KEY, FoundersRecord(pools=sorted(self.view.pools())).to_binary())
         written = await self.table.transact(Transaction([Condition(FOUNDERS_KEY, 0)], [write]))
         if written.is_error():
             log.info("founders not written", pool=self.limits.pool, reason=str(written.error))
 
     async def _wait_to_retry(self, reason: str) -> None:
-        log.warning("parts not read", pool=self.limits.pool, reason=reason)
+        log.warning("allotments not read", pool=self.limits.pool, reason=reason)
         await anyio.sleep(RETRY_DELAY_S)
 
     def apply_reports(self, now: float) -> bool:
-        """Take in what other pools' owners told, and the newest accounts; return if parts moved."""
+        """Apply the other owners' reports and the newest accounts; return if allotments changed."""
         self.limits.set_accounts(self.view.configuration.accounts)
-        others: defaultdict[AccountId, list[PeerAllotment]] = defaultdict(list)
+        peers: defaultdict[AccountId, list[PeerAllotment]] = defaultdict(list)
         for pool, report in self.view.fresh_reports(PARTS_MAX_AGE_S).items():
             if pool == self.limits.pool:
                 continue
             for part in report.parts:
-                others[AccountId(part.account)].append(PeerAllotment(pool, part))
-        return self.limits.apply_reports(others, now)
+                peers[AccountId(part.account)].append(PeerAllotment(pool, part))
+        return self.limits.apply_reports(peers, now)
 
     def report_new_shortfalls(self) -> None:
-        """Tell the other owners at once of an account that lacks a part, here or there."""
+        """Request a report at once if an account in need of one is not in the last report."""
         if (
             not self.limits.blocked_accounts | self.limits.awaited_accounts
             <= self.reported_accounts
@@ -108,21 +109,21 @@
             self.request_report()
 
     def report(self) -> list[PartReport]:
-        """Return what the other owners are to hear."""
+        """Return the reports to the other owners."""
         reports = self.limits.reports()
         self.reported_accounts = {AccountId(report.account) for report in reports}
         return reports
 
     def write(self, record: PartRecord) -> Write:
-        """Return how a ledger is recorded, under the fence of the owner's commit."""
+        """Return the write that records a ledger, fenced by the owner's commit."""
         key = part_key(self.limits.pool, AccountId(record.account))
         return Write(key, record.to_binary())
 
     def note_recorded(self, records: Sequence[PartRecord]) -> None:
-        """Note that ledgers are in the store; gifts are told at once."""
+        """Note that ledgers are recorded; request a report of new transfers at once."""
         for record in records:
             log.info(
-                "part recorded",
+                "allotment recorded",
                 pool=self.limits.pool,
                 account=record.account,
                 held=self.limits.allotment_of(AccountId(record.account)).ledger.allotment,
--- a/pumicespur/jobs/_demand.py
+++ b/pumicespur/jobs/_demand.py
@@ -1,4 +1,4 @@
-"""How many workers a pool needs, from what its jobs ask for now and how that changes."""
+"""Demand of a pool's jobs, its forecast, and the number of workers that it requires."""
 
 from __future__ import annotations
 
@@ -20,38 +20,39 @@
     from pumicespur.schema.jobs_pb import StepRecord
 
 PEAK_RETENTION_S = 3.0
-"""Time for which a peak keeps its workers: two moves of an instance."""
+"""Time for which the highest demand of a load peak is retained: two moves of an instance."""
 
 AVERAGING_S = 1.0
-"""Time over which demand is averaged; single large jobs come and go faster than moves."""
+"""Time over which demand is averaged, since single large jobs come and go faster than instances
+can be moved."""
 
 FORECAST_S = 1.5
-"""Time by which growth is foreseen: that of a move."""
+"""Time by which growing demand is forecast: the duration of a move."""
 
 WAITING_WEIGHT = 0.5
-"""Weight of a waiting task: those that wait may run in turn and still be in time."""
+"""Weight of a waiting task: waiting tasks can run one after another and still finish in time."""
 
 FILL_SHARE = 0.8
-"""Share of its workers that a pool plans to use; tasks seldom fill a worker to the brim."""
+"""Share of its workers' capacity that a pool plans to use; tasks seldom fill a worker entirely."""
 
 MIN_WORKERS = 4
-"""Workers kept in an idle pool: one may be lost and one down while a third takes work."""
+"""Workers kept in an idle pool: one can be lost and one be down while a third takes work."""
 
 PEAK_END_RATIO = 0.5
-"""Share of the highest arrivals of the last seconds below which a peak is taken to end; arrivals
-of a steady peak vary by a third."""
+"""A load peak is over once the arriving work falls below this share of its recent maximum; the
+arrivals of a steady peak vary by a third."""
 
 ARRIVAL_AVERAGING_S = 1.5
-"""Time over which arriving work is averaged; a few jobs of a slow route."""
+"""Shortest time over which a job's work is spread: a few jobs of a slow route."""
 
 ARRIVAL_FORECAST_S = 2.0
-"""Time by which growing arrivals are foreseen: word of them to the fleet's holder, the move of an
-instance and its worker's first answer."""
+"""Time by which growing arrivals are forecast: the report to the fleet leader, the move of an
+instance and the first response of its worker."""
 
 
 @dataclass(frozen=True)
 class Demand:
-    """What tasks ask for, in thousandths of a core and in MB."""
+    """Resources requested by tasks, in thousandths of a core and in MB."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
@@ -59,25 +60,25 @@
 
 @dataclass(frozen=True)
 class PoolDemand:
-    """What the tasks of a pool ask for whose turn has come."""
+    """Demand of the running tasks of a pool and of those that are ready to start."""
 
     short: Demand = Demand()
     long_running: Demand = Demand()
     waiting: Demand = Demand()
-    """The part of `short` that has no worker yet and can still be in time, at its full weight."""
+    """Waiting short tasks that can still finish in time, at their full weight."""
     overdue: Demand = Demand()
-    """What has no worker yet and can't be in time any more, at its full weight."""
+    """Waiting short tasks that can no longer finish in time, at their full weight."""
 
 
 @dataclass
 class DemandSum:
-    """A demand that is being added up."""
+    """A running sum of demand."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
 
     def add(self, spec: StepRecord, count: float) -> None:
-        """Count tasks of a step; those that fill ask for no processor time."""
+        """Add tasks of a step; best-effort tasks request no processor time."""
         self.cpu_millis += 0 if spec.fills else int(count * spec.cpu_millis)
         self.memory_mb += int(count * spec.memory_mb)
 
@@ -88,15 +89,15 @@
 
 @dataclass
 class DemandTracker:
-    """The demand of short tasks over the last seconds."""
+    """The recent demand of short tasks."""
 
     samples: deque[tuple[float, Demand]] = field(default_factory=deque)
     """Monotonic times in seconds, oldest first."""
     means: deque[tuple[float, Demand]] = field(default_factory=deque)
-    """Likewise, averaged."""
+    """Means over `AVERAGING_S`, in the same form."""
 
     def note(self, now: float, demand: Demand) -> None:
-        """Take a sample."""
+        """Add a sample."""
         self.samples.append((now, demand))
         while now - self.samples[0][0] > AVERAGING_S:
             self.samples.popleft()
@@ -108,18 +109,18 @@
             self.means.popleft()
 
     def trend(self) -> Demand:
-        """Return the mean of the last second, or where its growth leads if it grows."""
+        """Return the latest mean, extrapolated by `FORECAST_S` if it grows."""
         if not self.means:
             return Demand()
-        now, newest = self.means[-1]
-        before = next(demand for at, demand in self.means if now - at <= AVERAGING_S)
+        now, latest = self.means[-1]
+        earlier = next(demand for at, demand in self.means if now - at <= AVERAGING_S)
         growth = FORECAST_S / AVERAGING_S
-        cpu = newest.cpu_millis + growth * max(0, newest.cpu_millis - before.cpu_millis)
-        memory = newest.memory_mb + growth * max(0, newest.memory_mb - before.memory_mb)
+        cpu = latest.cpu_millis + growth * max(0, latest.cpu_millis - earlier.cpu_millis)
+        memory = latest.memory_mb + growth * max(0, latest.memory_mb - earlier.memory_mb)
         return Demand(int(cpu), int(memory))
 
     def forecast(self) -> Demand:
-        """Return the larger of the latest peak and where growth leads."""
+        """Return the larger of the recent maximum and the trend."""
         trend = self.trend()
         peak_cpu = max((demand.cpu_millis for _, demand in self.means), default=0)
         peak_memory = max((demand.memory_mb for _, demand in self.means), default=0)
@@ -128,17 +129,17 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A job's work as it came, and the time over which that work is spread."""
+    """A submitted job's work and the time over which it is spread."""
 
     accepted_ms: int
     cpu_millis: float
-    """Thousandths of a core that the job keeps busy while it lasts."""
+    """Thousandths of a core that the job keeps busy for its duration."""
     duration_ms: float
 
 
 @dataclass(frozen=True)
 class ArrivalSample:
-    """What was found to arrive at a time of day in milliseconds."""
+    """Arriving work measured at a time of day in milliseconds."""
 
     at_ms: int
     cpu_millis: int
@@ -146,15 +147,15 @@
 
 @dataclass
 class ArrivalTracker:
-    """The work that callers handed in lately, whether it has begun or not."""
+    """Recently submitted work, whether it has started or not."""
 
     entries: deque[Arrival] = field(default_factory=deque)
     """Oldest first."""
     samples: deque[ArrivalSample] = field(default_factory=deque)
-    """What was measured in the last seconds, oldest first."""
+    """Measurements of the last seconds, oldest first."""
 
     def note(self, job: Job, estimates: DurationEstimates) -> None:
-        """Count a job; long-running and timed work does not come in peaks."""
+        """Add a job; long-running and scheduled work is left out, since it causes no load peaks."""
         if job.record.repeats:
             return
         work = sum(
@@ -163,18 +164,18 @@
             if not spec.long_running
         )
         if work:
-            # A long job is no larger a share of what arrives than of what it keeps busy: one of
-            # 25 s of work in two steps looked like a peak of 77 workers.
+            # A long job is spread over its critical path. Otherwise one job with 25 s of work in
+            # two steps looked like a load peak that needs 77 workers.
             duration_ms = max(ARRIVAL_AVERAGING_S * 1000, max(job.critical_paths_ms))
             self.entries.append(Arrival(job.record.accepted_ms, work / duration_ms, duration_ms))
 
     def cpu_millis(self, now_ms: int) -> int:
-        """Return the processor time that such work keeps busy, in thousandths of a core."""
+        """Return the processor time that recent work keeps busy, in thousandths of a core."""
         self.entries = deque(e for e in self.entries if now_ms - e.accepted_ms <= e.duration_ms)
         return round(sum(entry.cpu_millis for entry in self.entries))
 
     def measure(self, now_ms: int) -> int:
-        """Return the processor time that arrives and remember it, to tell how it changes."""
+        """Return the arriving processor time and add it to the samples."""
         cpu_millis = self.cpu_millis(now_ms)
         self.samples.append(ArrivalSample(now_ms, cpu_millis))
         while now_ms - self.samples[0].at_ms > PEAK_RETENTION_S * 1000:
@@ -182,36 +183,36 @@
         return cpu_millis
 
     def forecast(self) -> int:
-        """Return what will arrive by the time that more workers are there, if growth goes on.
+        """Return the arriving processor time extrapolated by `ARRIVAL_FORECAST_S` if it grows.
 
-        The largest new job counts for no growth: one job alone is no trend.
+        The largest new job is excluded from the growth, because a single job is no trend.
         """
         if not self.samples:
             return 0
-        newest = self.samples[-1]
-        since_ms = newest.at_ms - AVERAGING_S * 1000
-        before = next(figure for figure in self.samples if figure.at_ms >= since_ms)
+        latest = self.samples[-1]
+        since_ms = latest.at_ms - AVERAGING_S * 1000
+        earlier = next(sample for sample in self.samples if sample.at_ms >= since_ms)
         new = [e.cpu_millis for e in self.entries if e.accepted_ms >= since_ms]
-        growth = newest.cpu_millis - before.cpu_millis - max(new, default=0)
-        return newest.cpu_millis + int(max(0, growth) * ARRIVAL_FORECAST_S / AVERAGING_S)
+        growth = latest.cpu_millis - earlier.cpu_millis - max(new, default=0)
+        return latest.cpu_millis + int(max(0, growth) * ARRIVAL_FORECAST_S / AVERAGING_S)
 
     def is_falling(self) -> bool:
-        """Whether less than a share of what was measured a moment ago arrives now."""
+        """Whether arrivals have fallen below `PEAK_END_RATIO` of their recent maximum."""
         if not self.samples:
             return False
-        most = max(figure.cpu_millis for figure in self.samples)
-        return self.samples[-1].cpu_millis < PEAK_END_RATIO * most
+        peak = max(sample.cpu_millis for sample in self.samples)
+        return self.samples[-1].cpu_millis < PEAK_END_RATIO * peak
 
 
 class LimitHeadroom:
-    """What accounts may still start; no number of workers helps what waits beyond that."""
+    """What accounts can still start within their limits; more workers don't help beyond that."""
 
     def __init__(self, limits: PoolLimits) -> None:
         self.limits = limits
         self.planned: dict[AccountId, ResourceUsage] = {}
 
     def reserve(self, account: AccountId, spec: StepRecord, count: int) -> int:
-        """Return how many of some waiting tasks their account's limit has room for."""
+        """Reserve headroom for waiting tasks; return how many of them fit the account's limit."""
         if not account or not count:
             return count
         limit = self.limits.limit_of(account)
@@ -224,7 +225,7 @@
 
 
 def current_demand(pool: PoolState, now_ms: float) -> PoolDemand:
-    """Return what tasks ask for whose turn has come."""
+    """Return the demand of running tasks and of those that are ready to start."""
     short = DemandSum()
     long_running = DemandSum()
     waiting = DemandSum()
@@ -236,31 +237,33 @@
         for group in job.ready_groups(now_ms):
             spec = group.spec
             if not pool.fits_anywhere(spec):
-                # No number of workers helps a task that is larger than each of them.
+                # More workers don't help a task that is larger than each of them.
                 continue
-            idle = headroom.reserve(job.account, spec, len(group.waiting()))
-            begun = len(group.tasks) - group.done - len(group.waiting())
+            startable = headroom.reserve(job.account, spec, len(group.waiting()))
+            started = len(group.tasks) - group.done - len(group.waiting())
             if spec.long_running:
-                long_running.add(spec, begun + idle)
+                long_running.add(spec, started + startable)
             elif is_overdue(group, now_ms):
-                short.add(spec, begun)
-                overdue.add(spec, idle)
+                short.add(spec, started)
+                overdue.add(spec, startable)
             else:
-                short.add(spec, begun + WAITING_WEIGHT * idle)
-                waiting.add(spec, idle)
+                short.add(spec, started + WAITING_WEIGHT * startable)
+                waiting.add(spec, startable)
     return PoolDemand(short.total(), long_running.total(), waiting.total(), overdue.total())
 
 
-def required_workers(pool: PoolState, short: Demand, long_running: Demand, room: Capacity) -> int:
-    """Return how many workers of a size the pool's present work takes."""
-    cpu = (short.cpu_millis + long_running.cpu_millis) / max(1, room.cpu_millis)
-    memory = (short.memory_mb + long_running.memory_mb) / max(1, room.memory_mb)
+def required_workers(
+    pool: PoolState, short: Demand, long_running: Demand, capacity: Capacity
+) -> int:
+    """Return how many workers of a capacity the demand of a pool requires."""
+    cpu = (short.cpu_millis + long_running.cpu_millis) / max(1, capacity.cpu_millis)
+    memory = (short.memory_mb + long_running.memory_mb) / max(1, capacity.memory_mb)
     by_demand = math.ceil(max(cpu, memory) / FILL_SHARE)
     return max(MIN_WORKERS, by_demand, _spread_workers(pool))
 
 
 def _spread_workers(pool: PoolState) -> int:
-    """Return how many workers the widest spread step takes, and one more to move to."""
+    """Return the workers required by the most widely spread step, plus one to move a task to."""
     widest = 0
     for job in pool.jobs.values():
         for group in job.groups:
--- a/pumicespur/jobs/_estimates.py
+++ b/pumicespur/jobs/_estimates.py
@@ -1,4 +1,4 @@
-"""How long tasks really take, from what callers declare and what earlier tasks took."""
+"""Expected durations of tasks, from declared estimates and the durations of earlier tasks."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
     from pumicespur.model import RouteName
 
 PRIOR_WEIGHT = 8.0
-"""Tasks that the assumption of sound estimates counts for; a few jobs outweigh it."""
+"""Weight of the prior, that declared estimates are right, in tasks; a few jobs outweigh it."""
 
 PRIOR_VARIANCE = 0.25
-"""Variance of the logarithms of the estimates that the assumption brings along."""
+"""Variance of the logarithms of declared durations in the prior."""
 
 DECAY_TASKS = 400.0
-"""Tasks after which older ones count less; some seconds of a busy route."""
+"""Time constant of the decay of older tasks, in tasks; a few seconds of a busy route."""
 
 MIN_DURATION_MS = 1.0
-"""Shortest time that is told apart from none."""
+"""Lower bound of durations, since the regression takes logarithms."""
 
 
 @dataclass
 class RouteEstimator:
-    """A line through the logarithms of declared and measured times, with a prior of slope one."""
+    """Linear regression of actual on declared durations, both logarithmic; the prior has slope one."""
 
     weight: float = 0.0
     sum_declared: float = 0.0
     sum_actual: float = 0.0
     sum_declared_squared: float = 0.0
     sum_product: float = 0.0
-    """Sums over the tasks so far, each times its weight."""
+    """Weighted sums over the tasks so far, of logarithms."""
 
     def note(self, declared_ms: float, actual_ms: float) -> None:
-        """Learn from one task."""
+        """Add a completed task to the regression."""
         x = math.log(max(MIN_DURATION_MS, declared_ms))
         y = math.log(max(MIN_DURATION_MS, actual_ms))
         kept = 1.0 - 1.0 / DECAY_TASKS
@@ -46,7 +46,7 @@
         self.sum_product = self.sum_product * kept + x * y
 
     def corrected_ms(self, declared_ms: float) -> float:
-        """Return the time to expect of a task, in milliseconds."""
+        """Return the expected duration of a task, in milliseconds."""
         x = math.log(max(MIN_DURATION_MS, declared_ms))
         if not self.weight:
             return declared_ms
@@ -62,15 +62,15 @@
 
 
 class DurationEstimates:
-    """The estimates of each route of a pool."""
+    """Expected task durations for each route of a pool."""
 
     def __init__(self) -> None:
         self.routes: defaultdict[RouteName, RouteEstimator] = defaultdict(RouteEstimator)
 
     def note(self, route: RouteName, declared_ms: float, actual_ms: float) -> None:
-        """Learn from a task that ended well."""
+        """Add a completed task of a route."""
         self.routes[route].note(declared_ms, actual_ms)
 
     def corrected_ms(self, route: RouteName, declared_ms: float) -> float:
-        """Return the time to expect of a task of a route, in milliseconds."""
+        """Return the expected duration of a task of a route, in milliseconds."""
         return self.routes[route].corrected_ms(declared_ms)
--- a/pumicespur/jobs/_fair_share.py
+++ b/pumicespur/jobs/_fair_share.py
@@ -1,4 +1,4 @@
-"""Which jobs go beyond their account's share, and so after those of the others."""
+"""Fair shares of accounts: jobs beyond their account's share wait for those of others."""
 
 from __future__ import annotations
 
@@ -8,26 +8,27 @@
     from pumicespur.model import AccountId
 
 MAX_BURST_S = 1.0
-"""Time for which an account may be ahead of its rate: a share is so many jobs in each second."""
+"""Time by which an account may be ahead of its rate, since weights are in jobs per second."""
 
 MAX_ACCOUNTS = 10_000
-"""Accounts that are remembered; those of the largest deployment foreseen."""
+"""Accounts that are tracked; those of the largest expected deployment."""
 
 
 class FairShareMeter:
-    """Measures each account's jobs against its weight, in jobs a second, by the time they came.
+    """Meters the rate of each account's submissions against its weight, in jobs per second.
 
-    It is the generic cell rate algorithm (ITU-T I.371): for each account one time, that by which
-    all jobs so far are due at its rate. It is not durable: a new owner measures what is open.
+    Uses the generic cell rate algorithm (ITU-T I.371): for each account, the time by which all
+    its jobs so far are due at its rate. The state is not durable: a new owner starts from the
+    unfinished jobs.
     """
 
     def __init__(self) -> None:
         self.due_ms: dict[AccountId, float] = {}
 
     def exceeds_share(self, account: AccountId, weight: float, accepted_ms: int) -> bool:
-        """Count a job; return whether its account has had its share of that second.
+        """Count a job; return whether it is beyond its account's share.
 
-        Without an account or a weight nothing goes beyond.
+        Jobs without an account or a weight never are.
         """
         if not account or weight <= 0:
             return False
--- a/pumicespur/jobs/_job.py
+++ b/pumicespur/jobs/_job.py
@@ -1,4 +1,4 @@
-"""A submitted job in its owner's memory: its steps, its tasks and how far they are."""
+"""In-memory state of a submitted job at its owner: steps, tasks and their progress."""
 
 from __future__ import annotations
 
@@ -31,46 +31,46 @@
     from pumicespur.schema.jobs_pb import JobRecord, StepRecord
 
 MIN_TICKET_VALIDITY_S = 0.2
-"""Time that a ticket must still hold when it is used: a commit and a call."""
+"""Remaining validity that a ticket needs to be used: a commit and a call."""
 
 ENDED_PHASES = frozenset({JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED})
 
 
 class TaskState(Enum):
-    """Where a task stands."""
+    """State of a task."""
 
     WAITING = "waiting"
     PLACED = "placed"
-    """A worker is chosen; the choice is not recorded yet."""
+    """Assigned to a worker; the assignment is not recorded yet."""
     STARTING = "starting"
-    """The order to start may have reached the worker."""
+    """The start may have reached the worker."""
     RUNNING = "running"
     DONE = "done"
 
 
 class RunStability(Enum):
-    """How far a task's present run has shown that it does not bring its worker down."""
+    """Evidence that a task's current run does not crash its worker."""
 
     NEW = "new"
     PROVEN = "proven"
-    """It has gone on for longer than a program takes to start."""
+    """It has run for longer than a program takes to start."""
     STABLE = "settled"
-    """It has gone on for so long that the worker's end has another cause."""
+    """It has run for so long that it can no longer be the cause of a crash."""
 
 
 @dataclass(frozen=True)
 class WorkerLoss:
-    """A worker that was lost with a task on it that may have been the cause."""
+    """The loss of a worker that a task may have caused."""
 
     worker: WorkerId
     instance: InstanceId
     sole_suspect: bool
-    """Nothing else can have been the cause."""
+    """No other task can have been the cause."""
 
 
 @dataclass(eq=False)
 class Task:
-    """One task; `index` is its place among all tasks of the job."""
+    """One task; `index` is its position among all tasks of the job."""
 
     group: StepGroup
     index: int
@@ -79,35 +79,36 @@
     run: int = 0
     failures: int = 0
     losses: list[WorkerLoss] = field(default_factory=list)
-    """Workers lost under the task since it last ran well for a while, oldest first."""
+    """Workers lost with the task since its last stable run, oldest first."""
     stability: RunStability = RunStability.NEW
     quarantined: bool = False
-    """It was placed on a worker to itself, as one that may bring it down."""
+    """The current run is a quarantined start: a suspected task on a reserved worker."""
     quarantine_requested_at: float | None = None
-    """Monotonic time since which it waits for such a worker, in seconds."""
+    """Monotonic time since which it waits for a reserved worker, in seconds."""
     first_seen_at: float = 0.0
-    """Monotonic time at which the present run was first known to be there, in seconds."""
+    """Monotonic time at which the current run was first confirmed, in seconds."""
     checkpoint: str = ""
     worker: WorkerId | None = None
     placed_at: float = 0.0
-    """Monotonic time at which that worker was chosen, in seconds."""
+    """Monotonic time of the assignment to that worker, in seconds."""
     percent: int = 0
     started_at: float = 0.0
-    """Monotonic time at which the present run was ordered to start, in seconds; 0 if another
-    process ordered it, or if the order got no answer."""
+    """Monotonic time at which the start of the current run was sent, in seconds; 0 if another
+    process sent it, or if it got no response."""
     progressed_at: float = 0.0
     """Monotonic time at which the percent last changed, in seconds."""
     stop_sent_at: float = float("-inf")
-    """Monotonic time of the last order to stop the present run."""
+    """Monotonic time of the last stop sent for the current run, in seconds."""
     stopping_run: int = 0
-    """The run that was ordered to stop last; it may look at work for a little longer."""
+    """The last run that was sent a stop; it may be reported as running for a little longer."""
     speed_percent: int = 100
+    """Share of full speed at which a best-effort task may run."""
     ticket: str = ""
-    """Permission of the advising service for the present worker."""
+    """Admission ticket of the advice service for the current worker."""
     measurement: float = 0.0
     """Measured latency (ms) or processor use, see `Running`."""
     unavailable_since: float | None = None
-    """Monotonic time since which a long-running task has not been at work."""
+    """Monotonic time since which a long-running task has not been available, in seconds."""
 
     @property
     def job(self) -> Job:
@@ -120,11 +121,11 @@
         return self.group.spec
 
     def is_current_run(self, worker: WorkerId, run: int) -> bool:
-        """Whether a run on a worker may go on, which only the newest one may."""
+        """Whether a run is the task's newest and its job goes on; other runs are to be stopped."""
         return not self.job.ended and (self.worker, self.run) == (worker, run)
 
     def mark_waiting(self, checkpoint: str = "") -> None:
-        """Let the task wait for its next start."""
+        """Reset the task to wait for its next start."""
         self.state = TaskState.WAITING
         self.worker = None
         self.percent = 0
@@ -148,33 +149,33 @@
     gang_checkpoint: str = ""
     """The newest checkpoint of any member; every member of a gang starts from the same one."""
     failed_run: int = 0
-    """The newest run of a gang that failed; it counts once for all members."""
+    """The newest failed run of a gang; it counts once for all members."""
     tickets: dict[WorkerId, tuple[str, float]] = field(default_factory=dict)
-    """Permissions to run the step, by worker, and their ends in monotonic seconds."""
+    """Admission tickets for the step by worker, with their expiry in monotonic seconds."""
     rack: Rack | None = None
     """The rack of the first placed task, for steps that stay in one rack."""
 
     @property
     def name(self) -> str:
-        """Return the step's name as the advising service knows it."""
+        """Return the name of the step in calls to the advice service."""
         return f"{self.job.id}.{self.repeat}.{self.number}"
 
     def ticket(self, worker: WorkerId, now: float) -> str:
-        """Return a worker's ticket, empty if it has none that holds long enough."""
+        """Return a worker's ticket, or an empty string if none is valid for long enough."""
         ticket, until = self.tickets.get(worker, ("", 0.0))
         return ticket if until - now > MIN_TICKET_VALIDITY_S else ""
 
     def has_tickets(self, now: float) -> bool:
-        """Whether any ticket still holds."""
+        """Whether any ticket is still valid."""
         return any(self.ticket(worker, now) for worker in self.tickets)
 
     @property
     def complete(self) -> bool:
-        """Whether every task has ended well."""
+        """Whether every task has completed."""
         return self.done == len(self.tasks)
 
     def waiting(self) -> list[Task]:
-        """Return the tasks that wait for a start."""
+        """Return the tasks that wait to be started."""
         return [task for task in self.tasks if task.state is TaskState.WAITING]
 
 
@@ -188,15 +189,15 @@
     priority: int
     max_attempts: int
     deadline_ms: float
-    """Time of day by which the job ought to be completed, in milliseconds since 1970."""
+    """Time of day by which the job should be completed, in milliseconds since 1970."""
     critical_paths_ms: list[float] = field(default_factory=list)
-    """For each step the longest chain from its start to the job's end, in milliseconds."""
+    """Critical path from the start of each step to the end of the job, in milliseconds."""
     account: AccountId = ANYONE
-    """Whose it is, whatever becomes of the key that it came with."""
+    """The submitting account; it stays the same if the key of the submission is revoked."""
     exceeds_share: bool = False
-    """Its account had handed in more than its weight when it came."""
+    """Its account was beyond its fair share when the job was submitted."""
     advised: bool = False
-    """Its tasks need tickets of the advising service."""
+    """Its tasks need admission tickets of the advice service."""
     phase: JobPhase = JobPhase.QUEUED
     failure: FailureRecord | None = None
     begun: bool = False
@@ -206,7 +207,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more is to be done for the job."""
+        """Whether the job is completed, failed or cancelled."""
         return self.phase in ENDED_PHASES
 
     def group(self, repeat: int, step: int) -> StepGroup:
@@ -214,7 +215,7 @@
         return self.groups[repeat * len(self.record.steps) + step]
 
     def ready_groups(self, now_ms: float) -> list[StepGroup]:
-        """Return the groups that have waiting tasks whose turn has come."""
+        """Return the incomplete groups whose start time and dependencies allow them to start."""
         return [group for group in self.groups if self._is_ready(group, now_ms)]
 
     def _is_ready(self, group: StepGroup, now_ms: float) -> bool:
@@ -223,7 +224,7 @@
         return all(self.group(group.repeat, number).complete for number in group.spec.depends_on)
 
     def finish_task(self, task: Task) -> None:
-        """Note that a task ended well; the job is completed with its last one."""
+        """Mark a task as completed, and the job with its last one."""
         if task.state is TaskState.DONE:
             return
         task.state = TaskState.DONE
@@ -233,12 +234,12 @@
             self.phase = JobPhase.COMPLETED
 
     def fail(self, failure: FailureRecord) -> None:
-        """Give the job up for a reason that is kept with it."""
+        """Mark the job as failed and keep the reason."""
         self.phase = JobPhase.FAILED
         self.failure = failure
 
     def progress(self, now_ms: int) -> ProgressRecord:
-        """Write how far the job is."""
+        """Return the job's progress as a record."""
         record = ProgressRecord(
             phase=self.phase,
             changed_ms=now_ms,
@@ -259,7 +260,7 @@
         return record
 
     def outstanding_runs(self) -> list[LeftRun]:
-        """Return the runs that were ordered and are not known to be over."""
+        """Return the runs that may have been started and are not known to be over."""
         return [
             LeftRun(
                 task=task.name,
@@ -274,7 +275,7 @@
         ]
 
     def restore(self, progress: ProgressRecord) -> None:
-        """Take over what an earlier owner recorded."""
+        """Restore the progress recorded by an earlier owner."""
         self.phase = progress.phase or JobPhase.QUEUED
         done = int.from_bytes(progress.done, "little")
         for task in self.tasks:
@@ -312,7 +313,7 @@
 
 
 def make_job(record: JobRecord, route: Route | None, estimates: DurationEstimates) -> Job:
-    """Lay out a job's tasks; without its route it can't be started but can be kept."""
+    """Create a job with its groups and tasks; without its route it can be kept but not run."""
     critical_paths_ms = compute_critical_paths_ms(record, estimates)
     stretch = route.stretch if route else 1.0
     objective_ms = route.latency_objective_s * 1000 if route else 0.0
@@ -338,8 +339,8 @@
 
 def _add_group(job: Job, group: StepGroup) -> None:
     job.groups.append(group)
-    for place in range(group.spec.count):
-        name = task_name(job.id, group.repeat, group.number, place)
+    for position in range(group.spec.count):
+        name = task_name(job.id, group.repeat, group.number, position)
         task = Task(group, len(job.tasks), name)
         group.tasks.append(task)
         job.tasks.append(task)
@@ -347,12 +348,12 @@
 
 
 def compute_critical_paths_ms(record: JobRecord, estimates: DurationEstimates) -> list[float]:
-    """Return for each step the longest chain from its start to the job's end, in milliseconds."""
+    """Return the critical path from the start of each step to the job's end, in milliseconds."""
     route = RouteName(record.route)
-    rest = [estimates.corrected_ms(route, step.estimated_ms) for step in record.steps]
-    after = [0.0] * len(rest)
-    for number in reversed(range(len(rest))):
-        rest[number] += after[number]
+    path_ms = [estimates.corrected_ms(route, step.estimated_ms) for step in record.steps]
+    after_ms = [0.0] * len(path_ms)
+    for number in reversed(range(len(path_ms))):
+        path_ms[number] += after_ms[number]
         for earlier in record.steps[number].depends_on:
-            after[earlier] = max(after[earlier], rest[number])
-    return rest
+            after_ms[earlier] = max(after_ms[earlier], path_ms[number])
+    return path_ms
--- a/pumicespur/jobs/_limits.py
+++ b/pumicespur/jobs/_limits.py
@@ -1,7 +1,7 @@
-"""Whether an account's next task may start in a pool, and the pool's parts of all limits.
+"""Account limits in one pool: whether a task may start, and the pool's allotment of each limit.
 
-Decisions only: nothing here waits, reads or writes. The owner of a pool asks before each
-placement, records what changed with its next commit, and tells the other owners what it lacks.
+Pure decisions without I/O. The owner of a pool checks them before each placement, records changed
+ledgers with its next commit, and reports shortfalls to the owners of other pools.
 """
 
 from __future__ import annotations
@@ -28,17 +28,18 @@
     from pumicespur.schema.jobs_pb import PartRecord, StepRecord
 
 MIN_TRANSFER = WHOLE_LIMIT // 100
-"""Smallest gift, unless it is all that is lacking or lets a task start; each costs two writes."""
+"""Smallest transfer, unless it covers the whole request or lets a task start; each one costs two
+writes."""
 
 MAX_REPORTED_ACCOUNTS = 200
-"""Accounts in one report: some 60 bytes each, so that it stays far below a row's 64 KB."""
+"""Bounds the accounts in a report: at about 60 bytes each, it stays far below a row's 64 KB."""
 
 UNLIMITED = Capacity(0, 0)
 
 
 @dataclass
 class PoolLimits:
-    """The limits of all accounts in one pool; without other pools it holds them whole."""
+    """Limits of all accounts in one pool; without other pools it holds the whole limits."""
 
     pool: PoolId
     usage: AccountUsage = field(default_factory=AccountUsage)
@@ -46,20 +47,23 @@
     founders: Sequence[PoolId] = ()
     allotments: dict[AccountId, Allotment] = field(default_factory=dict)
     known_limits: dict[AccountId, Capacity] = field(default_factory=dict)
-    """Limits of accounts that the operators have dropped while their jobs were there."""
+    """Last limits of accounts that were removed from the configuration."""
     changed: dict[AccountId, None] = field(default_factory=dict)
-    """Accounts whose ledger is to be recorded, oldest first."""
+    """Accounts whose ledger has to be recorded, oldest first."""
     stale: bool = False
-    """Another configuration has been in force elsewhere for too long for its limits to be passed
-    over, and is not known here."""
+    """A newer configuration, not known here, has been in force elsewhere for so long that its
+    limits must be observed."""
     blocked_accounts: set[AccountId] = field(default_factory=set)
+    """Accounts with tasks that were blocked by their limit in this round."""
     awaited_accounts: set[AccountId] = field(default_factory=set)
-    """Accounts of which another pool waits to hear what was taken from it, or what is used."""
+    """Accounts for which another pool waits for a report, of a transfer taken or of the usage."""
     unconfirmed: set[AccountId] = field(default_factory=set)
+    """Accounts with transfers that another pool is not known to have taken."""
     withheld_accounts: set[AccountId] = field(default_factory=set)
+    """Accounts with a part of the allotment withheld for other pools."""
 
     def set_accounts(self, accounts: Mapping[AccountId, ClientAccount]) -> None:
-        """Judge by another configuration from now on."""
+        """Apply the accounts of a configuration."""
         if accounts is self.accounts:
             return
         for name, account in self.accounts.items():
@@ -68,11 +72,11 @@
         self.accounts = accounts
 
     def set_founders(self, founders: Sequence[PoolId]) -> None:
-        """Learn which pools held equal parts at first."""
+        """Set the pools that initially hold equal allotments."""
         self.founders = founders
 
     def restore(self, records: Iterable[PartRecord]) -> None:
-        """Take over what earlier owners of the pool recorded."""
+        """Restore the ledgers recorded by earlier owners of the pool."""
         for record in records:
             account = AccountId(record.account)
             allotment = self.allotment_of(account)
@@ -80,12 +84,12 @@
             self._update_unconfirmed(account, allotment)
 
     def limit_of(self, account: AccountId) -> Capacity:
-        """Return an account's limit; one that is declared no more keeps its last one."""
+        """Return an account's limit; a removed account keeps its last one."""
         declared = self.accounts.get(account)
         return declared.limit if declared else self.known_limits.get(account, UNLIMITED)
 
     def allotment_of(self, account: AccountId) -> Allotment:
-        """Return an account's part here."""
+        """Return an account's allotment in this pool."""
         allotment = self.allotments.get(account)
         if allotment is None:
             founding = (
@@ -95,14 +99,14 @@
         return allotment
 
     def begin_round(self) -> None:
-        """Forget which tasks were blocked."""
+        """Clear the blocked tasks of the previous placement round."""
         for account in self.blocked_accounts:
             allotment = self.allotments[account]
             allotment.blocked, allotment.shortfall, allotment.needed = ResourceUsage(), 0, 0
         self.blocked_accounts.clear()
 
     def allows(self, account: AccountId, task: StepRecord, now: float, count: int = 1) -> bool:
-        """Whether one more task of an account may start here, or several together."""
+        """Whether a task of an account may start in this pool, or `count` of them at once."""
         if not account:
             return True
         limit = self.limit_of(account)
@@ -113,7 +117,7 @@
         allotment = self.allotment_of(account)
         used = self.usage.of(account)
         share = used.share_of(limit, task, count)
-        # A task that is larger than the whole limit runs alone: it could never start otherwise.
+        # A task that is larger than the whole limit may run alone; it could never start otherwise.
         alone = not used.tasks and allotment.available >= WHOLE_LIMIT
         if share > allotment.available and not alone:
             return False
@@ -121,7 +125,7 @@
         return True
 
     def fits_allotment(self, account: AccountId) -> bool:
-        """Whether what is counted of an account fits its part, which may have shrunk since."""
+        """Whether an account's usage fits its allotment, which may have shrunk meanwhile."""
         limit = self.limit_of(account)
         if not account or limit == UNLIMITED:
             return True
@@ -132,13 +136,14 @@
     def note_blocked(
         self, account: AccountId, task: StepRecord, count: int, batch_size: int = 1
     ) -> None:
-        """Note tasks that could start on the workers but for the part, so many at once."""
+        """Note tasks that fit on workers but exceed the allotment; `batch_size` start at once."""
         limit = self.limit_of(account)
         allotment = self.allotment_of(account)
         used = self.usage.of(account)
         self.blocked_accounts.add(account)
         if not allotment.needed or allotment.needed + allotment.used_elsewhere > WHOLE_LIMIT:
-            # The first task for which there can be room now; before runs end, others can't start.
+            # Counts the first task that a transfer can help. A task that does not fit beside the
+            # usage of other pools can't start before runs there have ended.
             needed = used.share_of(limit, task, batch_size)
             allotment.needed = needed if used.tasks else min(WHOLE_LIMIT, needed)
         allotment.blocked.add(task, count)
@@ -146,51 +151,52 @@
         allotment.shortfall = max(0, min(WHOLE_LIMIT, wanted) - allotment.available)
 
     def apply_reports(
-        self, others: Mapping[AccountId, Sequence[PeerAllotment]], now: float
+        self, peer_allotments: Mapping[AccountId, Sequence[PeerAllotment]], now: float
     ) -> bool:
-        """Take what other pools gave, and give to those that lack; return whether parts moved."""
+        """Take transfers from other pools and give to those with a shortfall.
+
+        Returns whether allotments changed.
+        """
         before = len(self.changed)
         self.awaited_accounts = set()
-        for account, peers in others.items():
+        for account, peers in peer_allotments.items():
             allotment = self.allotment_of(account)
-            for other in peers:
-                ever_given = other.given_to(self.pool)
-                if ever_given or other.report.lacking > 0:
+            for peer in peers:
+                ever_given = peer.given_to(self.pool)
+                if ever_given or peer.report.lacking > 0:
                     self.awaited_accounts.add(account)
-                if allotment.ledger.take(other.pool, ever_given):
+                if allotment.ledger.take(peer.pool, ever_given):
                     self.changed[account] = None
-                seen = max(
-                    allotment.confirmed_taken.get(other.pool, 0), other.taken_from(self.pool)
-                )
-                allotment.confirmed_taken[other.pool] = seen
+                taken = max(allotment.confirmed_taken.get(peer.pool, 0), peer.taken_from(self.pool))
+                allotment.confirmed_taken[peer.pool] = taken
             self._decide_transfers(account, allotment, peers, now)
             self._update_unconfirmed(account, allotment)
-        for account in self.withheld_accounts - others.keys():
+        for account in self.withheld_accounts - peer_allotments.keys():
             self.allotments[account].withheld = 0
         self.withheld_accounts = {
-            account for account in others if self.allotments[account].withheld
+            account for account in peer_allotments if self.allotments[account].withheld
         }
         return len(self.changed) > before
 
     def _decide_transfers(
         self, account: AccountId, allotment: Allotment, peers: Sequence[PeerAllotment], now: float
     ) -> None:
-        """Decide what each pool that lacks gets, the one that holds least first."""
+        """Decide the transfer to each pool with a shortfall, the smallest allotment first."""
         allotment.withheld = 0
         used = self.usage.of(account).share_of(self.limit_of(account))
-        allotment.used_elsewhere = sum(other.report.used for other in peers)
+        allotment.used_elsewhere = sum(peer.report.used for peer in peers)
         all_used = used + allotment.used_elsewhere
         rank = transfer_rank(self.pool, used, allotment.needed, allotment.used_elsewhere)
-        short_peers = [other for other in peers if other.report.lacking > 0]
-        for other in sorted(short_peers, key=lambda other: (other.report.held, other.pool)):
-            request = make_transfer_request(allotment, self.pool, other, all_used)
+        short_peers = [peer for peer in peers if peer.report.lacking > 0]
+        for peer in sorted(short_peers, key=lambda peer: (peer.report.held, peer.pool)):
+            request = make_transfer_request(allotment, self.pool, peer, all_used)
             if request.amount <= 0:
                 continue
             due = transfer_due(allotment, request, rank, used, now)
             amount = min(due, max(0, allotment.available - used))
             allotment.withheld += due - amount
             if amount >= min(request.amount, MIN_TRANSFER) or amount >= request.short > 0:
-                allotment.ledger.give(other.pool, amount)
+                allotment.ledger.give(peer.pool, amount)
                 self.changed[account] = None
 
     def _update_unconfirmed(self, account: AccountId, allotment: Allotment) -> None:
@@ -200,7 +206,7 @@
             self.unconfirmed.discard(account)
 
     def reports(self) -> list[PartReport]:
-        """Tell the other owners what is lacking here and what changed hands."""
+        """Return the reports to the other owners: shortfalls, usage and transfers."""
         blocked = sorted(self.blocked_accounts)
         others = sorted((self.awaited_accounts | self.unconfirmed) - self.blocked_accounts)
         return [self._report(account) for account in [*blocked, *others][:MAX_REPORTED_ACCOUNTS]]
@@ -226,14 +232,14 @@
         )
 
     def take_changed(self, count: int) -> list[PartRecord]:
-        """Return ledgers to be recorded, at most so many; they are forgotten here."""
+        """Remove and return up to `count` ledgers that have to be recorded."""
         chosen = list(self.changed)[:count]
         for account in chosen:
             del self.changed[account]
         return [self.allotment_of(account).ledger.record() for account in chosen]
 
     def note_recorded(self, records: Iterable[PartRecord]) -> bool:
-        """Note that ledgers are in the store; return whether other owners are to hear of it."""
+        """Note that ledgers are recorded; return whether other owners need a report of them."""
         has_news = False
         for record in records:
             account = AccountId(record.account)
--- a/pumicespur/jobs/_placement.py
+++ b/pumicespur/jobs/_placement.py
@@ -1,4 +1,4 @@
-"""Which worker runs which task: urgent and early work first, near its data, spread out."""
+"""Placement of tasks on workers: urgent and early work first, near its data."""
 
 from __future__ import annotations
 
@@ -22,28 +22,25 @@
     from pumicespur.model import Rack, WorkerId
 
 PRIORITY_DELAY_MS = 20_000.0
-"""Lead that one level of priority gives; work that is later than this goes first all the same."""
-
+"""Added to a job's deadline per priority level when groups are ordered; higher levels are less
+urgent. Work that is overdue by more than this still goes first."""
 
 OVERDUE_DELAY_MS = 10_000.0
-"""Lead that work gets which can still be in time before work that can't; about a peak's length.
-Without it, a peak makes every job a little late instead of some of them very late."""
-
+"""Added to the deadline of work that can no longer finish in time; about the length of a load
+peak. Without it, a peak makes every job a little late instead of some of them very late."""
 
 OVER_SHARE_DELAY_MS = 10_000.0
-"""Lead that other work gets before what an account sends beyond its weight, as before late work:
-a peak's length. After that it goes first all the same, so that it is served."""
-
+"""Added to the deadline of jobs beyond their account's fair share; about the length of a load peak.
+The delay is bounded so that such jobs are served too."""
 
 REMAINING_TIME_RATIO = 1.0
-"""Share of the expected rest of a job that must fit before its time; declared and learnt times
-are rough. A peak that outgrows its pool serves the most pressing work first, all of it when its
-time is just about over. With half of the rest, more of it ended late:
-worth 0.377 to 0.380, 0.410 to 0.434 and 0.244 to 0.276 on three overloaded plays."""
+"""Share of a job's expected remaining time that must fit before its deadline; expected times are
+rough. An overloaded pool works on the jobs closest to their deadline, so that with a ratio of 0.5
+more of them finish late."""
 
 
 def order_groups(jobs: Iterable[Job], now_ms: float) -> list[StepGroup]:
-    """Return the groups whose turn has come, the most pressing first."""
+    """Return the groups that are ready to start tasks, the most urgent first."""
     groups = [group for job in jobs if not job.ended for group in job.ready_groups(now_ms)]
     groups = [group for group in groups if group.waiting()]
     return sorted(groups, key=lambda group: _priority_key(group, now_ms))
@@ -60,7 +57,10 @@
 
 
 def is_overdue(group: StepGroup, now_ms: float) -> bool:
-    """Whether a job can't be completed in time any more; long-running tasks have no such time."""
+    """Whether a job can no longer finish in time.
+
+    Long-running and scheduled steps have no deadline.
+    """
     if group.spec.long_running or group.due_ms:
         return False
     return (
@@ -70,10 +70,10 @@
 
 
 class Candidates:
-    """The workers of one round that may be given tasks, fewer and fewer as they fill up.
+    """The workers that may be given tasks in one placement round.
 
-    Asked one by one for each task, the workers of a large pool would take its owner more than a
-    second a round.
+    Full workers are removed during the round: checking every worker for every task would take the
+    owner of a large pool more than a second per round.
     """
 
     def __init__(
@@ -89,15 +89,15 @@
         ]
 
     def _has_free_capacity(self, load: WorkerLoad) -> bool:
-        """Whether the smallest of the waiting tasks may fit."""
-        room = load.worker.capacity
+        """Whether a task with the smallest waiting request for each resource would fit."""
+        capacity = load.worker.capacity
         return (
-            load.cpu_millis + self.min_cpu_millis <= room.cpu_millis
-            and load.memory_mb + self.min_memory_mb <= room.memory_mb
+            load.cpu_millis + self.min_cpu_millis <= capacity.cpu_millis
+            and load.memory_mb + self.min_memory_mb <= capacity.memory_mb
         )
 
     def eligible_for(self, task: Task) -> list[WorkerLoad]:
-        """Return the workers that may be given a task."""
+        """Return the workers that can be given a task."""
         group = task.group
         spec = group.spec
         found = [
@@ -112,7 +112,7 @@
         return found
 
     def note_assigned(self, load: WorkerLoad) -> None:
-        """Leave a worker out once nothing more can fit."""
+        """Remove a worker once nothing more fits on it."""
         if not self._has_free_capacity(load):
             self.available.remove(load)
 
@@ -120,7 +120,7 @@
 def place_groups(
     groups: Sequence[StepGroup], loads: Sequence[WorkerLoad], limits: PoolLimits, now: float
 ) -> list[Task]:
-    """Choose workers for the waiting tasks of groups, the most pressing group first."""
+    """Choose workers for the waiting tasks of groups, in the given order."""
     candidates = Candidates(loads, groups, now)
     placed: list[Task] = []
     for group in groups:
@@ -137,7 +137,8 @@
     batch_size = len(group.tasks) if group.spec.gang else 1
     if len(waiting) < batch_size:
         return []
-    # Once an earlier group of the account has shown that there is room, nobody looks again.
+    # Skips the search for workers if an earlier group of the account had free workers but was
+    # blocked by the account's limit, and this group is blocked as well.
     blocked = account in limits.blocked_accounts
     if blocked and not limits.allows(account, group.spec, candidates.now, batch_size):
         limits.note_blocked(account, group.spec, len(waiting), batch_size)
@@ -170,7 +171,7 @@
 def _pack_tasks(
     group: StepGroup, waiting: Sequence[Task], candidates: Candidates, limits: PoolLimits
 ) -> list[Task]:
-    """Place tasks that all go to the fullest worker: it stays that until it is full."""
+    """Place tasks on the fullest worker first; it stays the fullest until nothing more fits."""
     placed: list[Task] = []
     eligible = sorted(
         candidates.eligible_for(waiting[0]), key=lambda load: _packing_key(group, load)
@@ -180,8 +181,8 @@
             len(placed) < len(waiting) and load.fits(group.spec) and load.meets_constraints(group)
         ):
             if not limits.allows(group.job.account, group.spec, candidates.now):
-                left = len(waiting) - len(placed)
-                limits.note_blocked(group.job.account, group.spec, left)
+                remaining = len(waiting) - len(placed)
+                limits.note_blocked(group.job.account, group.spec, remaining)
                 return placed
             task = waiting[len(placed)]
             _assign_with_ticket(task, load, candidates.now)
@@ -199,9 +200,9 @@
         load = choose_worker(task, candidates)
         if load is None:
             break
-        left = len(group.tasks) - len(placed)
-        if not limits.allows(group.job.account, group.spec, candidates.now, left):
-            limits.note_blocked(group.job.account, group.spec, left, left)
+        remaining = len(group.tasks) - len(placed)
+        if not limits.allows(group.job.account, group.spec, candidates.now, remaining):
+            limits.note_blocked(group.job.account, group.spec, remaining, remaining)
             break
         _assign_with_ticket(task, load, candidates.now)
         candidates.note_assigned(load)
@@ -220,7 +221,7 @@
 
 
 def align_gang_runs(group: StepGroup) -> None:
-    """Give all members of a gang the same run number and checkpoint."""
+    """Set the same run number and checkpoint for all members of a gang."""
     run = max(task.run for task in group.tasks)
     for task in group.tasks:
         task.run = run
@@ -242,7 +243,7 @@
 
 
 def undo_assignment(task: Task, loads: Sequence[WorkerLoad]) -> None:
-    """Undo an assignment that was neither recorded nor ordered."""
+    """Undo an assignment that was neither recorded nor sent to the worker."""
     for load in loads:
         load.remove(task)
     task.run -= 1
@@ -252,7 +253,7 @@
 
 
 def choose_worker(task: Task, candidates: Candidates) -> WorkerLoad | None:
-    """Pick the best worker for a waiting task, or None if none has room."""
+    """Return the best worker for a waiting task, or None if none is eligible."""
     group = task.group
     spec = group.spec
     eligible = candidates.eligible_for(task)
@@ -273,7 +274,7 @@
             key=lambda load: (count_unproven_suspects(load), load.utilization(), load.worker.id),
         )
     if spec.fills:
-        # Filling tasks ask for no room of their own and are spread.
+        # Best-effort tasks reserve no processor time, so that they are spread out.
         return min(
             eligible,
             key=lambda load: (_is_far_from_data(group, load), load.utilization(), load.worker.id),
@@ -282,9 +283,10 @@
 
 
 def _packing_key(group: StepGroup, load: WorkerLoad) -> tuple[bool, float, WorkerId]:
-    """Order workers so that whole ones stay idle, which can change pool at once.
+    """Order workers by utilization, highest first, so that others stay idle.
 
-    Spread evenly, a peak's last tasks kept every one of its instances for seconds.
+    Idle instances can move to another pool at once. Spread evenly, the last tasks of a load peak
+    kept all of its instances for seconds.
     """
     return (_is_far_from_data(group, load), -load.utilization(), load.worker.id)
 
@@ -294,12 +296,15 @@
 
 
 def _choose_in_rack(group: StepGroup, eligible: list[WorkerLoad]) -> WorkerLoad | None:
-    """Keep a group in the rack of its first task; the emptiest rack is taken first."""
+    """Keep a group in the rack of its first task: the data's, or that with most free capacity."""
     if group.rack is not None:
         eligible = [load for load in eligible if load.worker.rack == group.rack]
         return min(eligible, key=lambda load: (load.utilization(), load.worker.id), default=None)
-    room: Counter[Rack] = Counter()
+    free_cpu_millis: Counter[Rack] = Counter()
     for load in eligible:
-        room[load.worker.rack] += load.worker.capacity.cpu_millis - load.cpu_millis
-    group.rack = max(sorted(room), key=lambda name: (name == group.spec.data_rack, room[name]))
+        free_cpu_millis[load.worker.rack] += load.worker.capacity.cpu_millis - load.cpu_millis
+    group.rack = max(
+        sorted(free_cpu_millis),
+        key=lambda name: (name == group.spec.data_rack, free_cpu_millis[name]),
+    )
     return _choose_in_rack(group, eligible)
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -1,4 +1,4 @@
-"""The state of one pool in its owner's memory: jobs, workers, and what changed."""
+"""In-memory state of a pool at its owner: jobs, workers, and unrecorded changes."""
 
 from __future__ import annotations
 
@@ -49,12 +49,15 @@
 """A task and the number of its run."""
 
 SILENCE_RETENTION_S = 30.0
-"""How long a silence is remembered: longer than the lease of a worker that fell silent with it."""
+"""Longer than the lease of a worker that stopped answering at the same time."""
 
 
 @dataclass(frozen=True)
 class Silence:
-    """A worker that stopped answering (monotonic seconds) without a task that explains it."""
+    """A worker that stopped answering, with no newly started task that could have crashed it.
+
+    `at` is in monotonic seconds.
+    """
 
     worker: WorkerId
     rack: Rack
@@ -63,20 +66,20 @@
 
 @dataclass(frozen=True)
 class InheritedRun:
-    """A run that an earlier owner ordered, and whose it is."""
+    """A run started by an earlier owner of the pool, with its account."""
 
     account: AccountId
     record: LeftRun
 
     @property
     def key(self) -> RunKey:
-        """Return what tells the run from others."""
+        """Return the key that identifies the run."""
         return TaskName(self.record.task), self.record.run
 
 
 @dataclass(eq=False)
 class PoolState:
-    """Jobs and workers of a pool; `dirty` holds the jobs whose progress is not recorded yet."""
+    """Jobs and workers of a pool; `dirty` holds the jobs with unrecorded progress."""
 
     pool: PoolId
     jobs: dict[JobId, Job] = field(default_factory=dict)
@@ -88,19 +91,19 @@
     estimates: DurationEstimates = field(default_factory=DurationEstimates)
     limits: PoolLimits = field(init=False)
     inherited: dict[WorkerId, list[InheritedRun]] = field(default_factory=dict)
-    """Runs that earlier owners left behind, as long as they are not counted on their workers."""
+    """Runs of earlier owners that are not yet counted on their workers."""
     fair_share: FairShareMeter = field(default_factory=FairShareMeter)
     capacities: set[Capacity] | None = None
-    """The different capacities of the workers; None after a change until they are asked for."""
+    """Cached set of the workers' distinct capacities; None if it must be recomputed."""
 
     def __post_init__(self) -> None:
-        """Hold the limits of all accounts whole until other pools are known."""
+        """Start with the whole limit of every account, until other pools are known."""
         self.limits = PoolLimits(self.pool)
 
     def add_job(
         self, record: JobRecord, configuration: Configuration, progress: ProgressRecord | None
     ) -> Job | None:
-        """Take in a job that callers submitted; return None if it is known already."""
+        """Add a submitted job; return None if it is already known."""
         known = self.jobs.get(JobId(record.id))
         if known is not None:
             return None
@@ -118,20 +121,20 @@
         return job
 
     def add_inherited_run(self, account: AccountId, run: LeftRun) -> None:
-        """Count a run that an earlier owner left behind."""
+        """Count a run of an earlier owner against its account's limit."""
         if account:
             inherited = InheritedRun(account, run)
             self.inherited.setdefault(WorkerId(run.worker), []).append(inherited)
             self.limits.usage.add(account, run, 1)
 
     def adopt_inherited(self, load: WorkerLoad) -> None:
-        """Leave the runs that are counted on their worker now to it."""
+        """Drop the inherited runs that are now counted as tasks of their worker."""
         counted = {(task.name, task.run) for task in load.tasks}
         left = [run.key for run in self.inherited.get(load.worker.id, ())]
         self.resolve_inherited(load.worker.id, {key for key in left if key not in counted})
 
     def resolve_inherited(self, worker: WorkerId, keep: Container[RunKey] = ()) -> None:
-        """Count a worker's inherited runs no longer, but for those that are still going on."""
+        """Stop counting a worker's inherited runs, except for those in `keep`, which still run."""
         left = self.inherited.pop(worker, [])
         still = [run for run in left if run.key in keep]
         for run in left:
@@ -141,7 +144,7 @@
             self.inherited[worker] = still
 
     def cancel(self, job: Job) -> None:
-        """End a job because its caller asked for it."""
+        """Cancel a job at its caller's request."""
         if not job.ended:
             job.phase = JobPhase.CANCELLED
             self.dirty.add(job)
@@ -152,7 +155,7 @@
         return None if job is None else job.by_name.get(name)
 
     def add_worker(self, worker: Worker) -> WorkerLoad:
-        """Count a worker, or take its newest description."""
+        """Add a worker, or update its description."""
         load = self.loads.get(worker.id)
         if load is None:
             load = WorkerLoad(worker, self.limits.usage)
@@ -167,13 +170,13 @@
         return load
 
     def load_of(self, task: Task) -> WorkerLoad | None:
-        """Return the worker that a task's newest start was meant for, if it is counted."""
+        """Return the load of the worker that a task was last assigned to, if that is known."""
         return self.loads.get(task.worker) if task.worker else None
 
     def drop_worker(self, worker: WorkerId, keep: Container[Task] = ()) -> None:
-        """Forget a worker whose tasks are known to be over; they wait again.
+        """Remove a worker whose runs are known to be over, and requeue its tasks.
 
-        Tasks to `keep` stay assigned to it: the worker may have begun them in its next life.
+        Tasks in `keep` stay assigned: the worker's next incarnation may have started them.
         """
         load = self.loads.pop(worker, None)
         self.capacities = None
@@ -199,28 +202,29 @@
     def note_lost_runs(
         self, load: WorkerLoad, pending: Collection[Task] = (), *, ended: bool = True
     ) -> list[Task]:
-        """Note that a worker's runs are lost; return the tasks that may be the cause.
+        """Attribute the loss of a worker with its runs; return the suspected tasks.
 
-        `ended` tells that the worker's life is over and it was not merely silent for too long.
+        `ended` says that the incarnation is over, rather than only silent for too long. Other
+        workers of the rack that went silent at the same time suggest a common cause.
         """
-        together = any(
+        common_cause = any(
             silence.worker != load.worker.id
             and silence.rack == load.worker.rack
             and abs(silence.at - load.silent_at) <= COMMON_CAUSE_WINDOW_S
             for silence in self.silences
         )
-        blamed = attribute_crash(load, pending, single=ended and not together)
+        blamed = attribute_crash(load, pending, single=ended and not common_cause)
         for task in blamed:
             self._check_losses(task)
         return blamed
 
     def retract_loss(self, task: Task, worker: WorkerId) -> None:
-        """Take back the loss of a worker with a task that turned out to run elsewhere."""
+        """Remove a worker loss from a task that turned out to run elsewhere."""
         withdraw_loss([task], worker)
         self.dirty.add(task.job)
 
     def assigned_tasks(self) -> dict[WorkerName, list[Task]]:
-        """Return the tasks of jobs that go on, by the worker that they were last assigned to."""
+        """Return the tasks of unfinished jobs by the worker that they were last assigned to."""
         found: dict[WorkerName, list[Task]] = {}
         for job in self.jobs.values():
             if job.ended:
@@ -231,29 +235,29 @@
         return found
 
     def lost_workers(self) -> set[WorkerId]:
-        """Return the workers whose losses tasks carry."""
+        """Return the workers whose loss is attributed to any task."""
         tasks = (task for job in self.jobs.values() for task in job.tasks)
         return {loss.worker for task in tasks for loss in task.losses}
 
     def note_lost_run(self, task: Task, loss: WorkerLoss) -> None:
-        """Note the loss of a worker with a task of which it is not known whether it began there."""
+        """Attribute a worker loss to a task that may not have started there."""
         if task.job.ended or task.state is TaskState.DONE:
             return
         task.losses.append(loss)
         self._check_losses(task)
 
     def _check_losses(self, task: Task) -> None:
-        """Record a task's losses; give its job up if there are too many."""
+        """Mark a task's losses as unrecorded; fail its job if there are too many."""
         self.dirty.add(task.job)
         if exceeds_loss_limit(task) and not task.job.ended:
-            self._give_up(task, [loss.worker for loss in task.losses])
+            self._fail_job(task, [loss.worker for loss in task.losses])
 
     def retract_losses(self, load: WorkerLoad) -> None:
-        """Take back the loss of a worker that answers again."""
+        """Remove the loss of a worker that answers again from all tasks."""
         tasks = (task for job in self.jobs.values() if not job.ended for task in job.tasks)
         self.dirty.update(task.job for task in withdraw_loss(tasks, load.worker.id))
 
-    def _give_up(self, task: Task, lost_workers: Sequence[WorkerId] = ()) -> None:
+    def _fail_job(self, task: Task, lost_workers: Sequence[WorkerId] = ()) -> None:
         failure = FailureRecord(
             task=task.name, attempts=task.failures, lost_workers=list(lost_workers)
         )
@@ -268,7 +272,7 @@
         )
 
     def requeue(self, task: Task, checkpoint: str = "") -> None:
-        """Let a task wait again after its run is known to be over."""
+        """Requeue a task whose run is known to be over."""
         load = self.load_of(task)
         if load is not None:
             load.remove(task)
@@ -279,7 +283,7 @@
             self.dirty.add(task.job)
 
     def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
-        """Take in a run's end as its worker listed it."""
+        """Apply the end of a run as reported by its worker."""
         task = self.find_task(end.task)
         if task is None or task.job.ended or task.state is TaskState.DONE:
             return
@@ -295,10 +299,10 @@
         if load is None or end.how not in (RunEnd.DONE, RunEnd.FAILED):
             return
         if load.note_result(end.how is RunEnd.DONE, now):
-            log.warning("worker left out", pool=self.pool, worker=worker, reason="failures")
+            log.warning("worker ejected", pool=self.pool, worker=worker, reason="failures")
 
     def _finish(self, task: Task, worker: WorkerId) -> None:
-        """Note a good end; runs elsewhere stay counted until their workers list them no more."""
+        """Finish a task, with its gang; runs on other workers count until they are not listed."""
         members = task.group.tasks if task.spec.gang else [task]
         for member in members:
             load = self.load_of(member)
@@ -315,7 +319,7 @@
         self.requeue(task, end.checkpoint)
 
     def _count_failure(self, task: Task, run: int) -> None:
-        """Count a failed run; the job fails with the last attempt."""
+        """Count a failed attempt; fail the job after the last one."""
         if not task.spec.gang:
             task.failures += 1
         elif task.group.failed_run != run:
@@ -324,10 +328,10 @@
                 member.failures += 1
         self.dirty.add(task.job)
         if task.failures >= task.job.max_attempts:
-            self._give_up(task)
+            self._fail_job(task)
 
     def place(self, now: float, now_ms: float) -> list[Task]:
-        """Choose workers for waiting tasks whose turn has come."""
+        """Choose workers for the waiting tasks that are ready to start."""
         loads = list(self.loads.values())
         groups = order_groups(self.jobs.values(), now_ms)
         reserve_quarantine_workers(groups, loads, now)
@@ -341,20 +345,20 @@
         return placed
 
     def waiting_by_route(self) -> Counter[RouteName]:
-        """Count the jobs of which no task has begun."""
+        """Count the jobs without any started task, by route."""
         return Counter(j.route for j in self.jobs.values() if not j.begun and not j.ended)
 
     def fits_anywhere(self, spec: StepRecord) -> bool:
-        """Whether some worker, were it empty, could carry a task; true while none is known."""
+        """Whether an empty worker could fit a task; true while no worker is known."""
         if self.capacities is None:
             self.capacities = {load.worker.capacity for load in self.loads.values()}
         return not self.capacities or any(
-            spec.cpu_millis <= room.cpu_millis and spec.memory_mb <= room.memory_mb
-            for room in self.capacities
+            spec.cpu_millis <= capacity.cpu_millis and spec.memory_mb <= capacity.memory_mb
+            for capacity in self.capacities
         )
 
     def count_waiting_tasks(self, now_ms: float) -> int:
-        """Count the tasks whose turn has come, that wait and that some worker could carry."""
+        """Count the waiting tasks that are ready to start and fit on some worker."""
         return sum(
             len(group.waiting())
             for job in self.jobs.values()
--- a/pumicespur/jobs/_pool_report.py
+++ b/pumicespur/jobs/_pool_report.py
@@ -1,4 +1,4 @@
-"""What an owner tells the other processes about its pool."""
+"""Reports of a pool's owner to the other processes."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def report_pool(pool: PoolState, token: int) -> PoolReport:
-    """Describe a pool as its owner sees it now."""
+    """Return the report of a pool's current state."""
     waiting = [
         WaitingCount(route=route, jobs=count) for route, count in pool.waiting_by_route().items()
     ]
     report = PoolReport(pool=pool.pool, fencing_token=token, waiting=waiting)
-    report.workers = [_report_worker(load) for load in pool.loads.values()]
+    report.workers = [_describe_worker(load) for load in pool.loads.values()]
     return report
 
 
-def _report_worker(load: WorkerLoad) -> WorkerReport:
+def _describe_worker(load: WorkerLoad) -> WorkerReport:
     load.reported_tasks = len(load.tasks)
     if load.evacuation_requested:
         load.evacuation_reported_at = monotonic()
--- a/pumicespur/jobs/_pool_sizing.py
+++ b/pumicespur/jobs/_pool_sizing.py
@@ -1,4 +1,4 @@
-"""How many workers a pool asks the fleet's holder for, and the log lines that tell why."""
+"""How many workers a pool requests from the fleet leader, and log lines that explain it."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 log = Logger(__name__)
 
 LOAD_LOG_INTERVAL_S = 1.0
-"""Pause between log lines about a busy pool's load."""
+"""Interval between log lines about the load of a busy pool."""
 
 
 class PoolSizer:
-    """Follows what a pool's work asks for."""
+    """Tracks the demand of a pool and fills it into the pool's reports."""
 
     def __init__(self, pool: PoolState, request_report: Callable[[], None]) -> None:
         self.pool = pool
         self.request_report = request_report
-        """Asks for a heartbeat at once."""
+        """Requests a heartbeat at once."""
         self.demand = DemandTracker()
         self.arrivals = ArrivalTracker()
         self.current = PoolDemand()
         self.load_logged_at = float("-inf")
         self.reported_workers = 0
-        """Workers that the last report asked for."""
+        """Busy workers in the last report."""
 
     def update(self, now: float) -> None:
-        """Take a look at the pool's work; a need that grows is told at once."""
+        """Measure the pool's demand; request a report at once if it needs more busy workers."""
         self.current = current_demand(self.pool, now_ms())
         self.demand.note(now, self.current.short)
         if now - self.load_logged_at >= LOAD_LOG_INTERVAL_S:
@@ -56,31 +56,31 @@
             self.request_report()
 
     def fill_report(self, report: PoolReport) -> None:
-        """Fill in what the other processes hear of the pool's size.
+        """Fill the pool's requested size into a report.
 
-        Work that can't be in time any more takes no instance from a pool whose work can. It keeps
-        those that nobody else asks for. With such work counted like any other, a pool kept 116 of
-        180 instances for it through the onset of the next pool's peak, which had 24 for 7 s.
+        Work that can no longer finish in time takes no instances from other pools, but keeps those
+        that no other pool requests. Counted like other work, it kept 116 of 180 instances in its
+        pool during the start of the next pool's load peak, which had 24 for 7 s.
         """
         demand = current_demand(self.pool, now_ms())
         report.busy_workers = self._busy_workers(demand.waiting)
-        left = Demand(
+        all_waiting = Demand(
             demand.waiting.cpu_millis + demand.overdue.cpu_millis,
             demand.waiting.memory_mb + demand.overdue.memory_mb,
         )
-        report.wanted_workers = max(report.busy_workers, self._workers_for(left))
+        report.wanted_workers = max(report.busy_workers, self._workers_for(all_waiting))
         if not self.arrivals.is_falling():
-            # Kept on after a peak for as long as a pause within one might last, workers stood
-            # idle while the next pool waited for them.
-            remembered = self._workers_for(self.demand.forecast())
-            report.wanted_workers = max(report.wanted_workers, remembered)
+            # After the end of a load peak its maximum no longer counts: otherwise workers stay idle
+            # in this pool while the next pool waits for them.
+            peak_workers = self._workers_for(self.demand.forecast())
+            report.wanted_workers = max(report.wanted_workers, peak_workers)
         self.reported_workers = report.busy_workers
         report.arriving_cpu_millis = self.arrivals.cpu_millis(now_ms())
 
     def note_arrival(self, job: Job) -> None:
-        """Count a job that was handed in, unless no worker could carry it.
+        """Count a submitted job, unless one of its steps fits on no worker.
 
-        What goes beyond its account's share is no reason to take instances from other pools.
+        A job beyond its account's fair share is no reason to take instances from other pools.
         """
         if not job.exceeds_share and all(
             self.pool.fits_anywhere(spec) for spec in job.record.steps
@@ -88,10 +88,10 @@
             self.arrivals.note(job, self.pool.estimates)
 
     def _busy_workers(self, waiting: Demand) -> int:
-        """Return how many workers what arrives and what waits will take.
+        """Return how many workers the arriving and the waiting work requires.
 
-        Once less arrives, what runs is left out: it ends where it is. So a pool gives what it
-        took as soon as its callers turn away.
+        Once arrivals fall, running tasks are left out, because they end on the workers they have.
+        The pool thus gives up instances as soon as the load peak is over.
         """
         self.arrivals.measure(now_ms())
         cpu_millis = max(self.arrivals.forecast(), waiting.cpu_millis)
@@ -103,17 +103,17 @@
         return self._workers_for(Demand(cpu_millis, memory_mb))
 
     def _workers_for(self, short: Demand) -> int:
-        """Return how many workers the pool's work takes; 0 while that is not known."""
+        """Return how many workers of median capacity a demand requires; 0 if no worker is known."""
         if not self.pool.loads:
             return 0
         capacities = [load.worker.capacity for load in self.pool.loads.values()]
-        capacities.sort(key=lambda room: room.cpu_millis)
+        capacities.sort(key=lambda capacity: capacity.cpu_millis)
         return required_workers(
             self.pool, short, self.current.long_running, capacities[len(capacities) // 2]
         )
 
     def _log_load(self, now: float) -> None:
-        """Log what the pool's size is decided by, unless there is nothing to do."""
+        """Log what decides the pool's requested size, unless the pool is idle."""
         waiting = self.pool.count_waiting_tasks(now_ms())
         if not waiting and not self.current.short.cpu_millis:
             return
@@ -127,6 +127,6 @@
             arriving_cpu_millis=self.arrivals.cpu_millis(now_ms()),
             waiting_tasks=waiting,
             short_cpu_millis=self.current.short.cpu_millis,
-            lasting_cpu_millis=self.current.long_running.cpu_millis,
+            long_running_cpu_millis=self.current.long_running.cpu_millis,
             used_cpu_millis=sum(load.cpu_millis for load in self.pool.loads.values()),
         )
--- a/pumicespur/jobs/_worker_load.py
+++ b/pumicespur/jobs/_worker_load.py
@@ -1,4 +1,4 @@
-"""What each worker of a pool carries and whether it may be given more."""
+"""The load of each worker of a pool, and whether it can be given more tasks."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
     from pumicespur.schema.jobs_pb import StepRecord
 
 MIN_EJECT_FAILURES = 3
-"""Failures in a row before a worker is left out; single failures are the tasks' own."""
+"""Consecutive failures before a worker is ejected; single failures are mostly the tasks' fault."""
 
 MIN_EJECT_S = 2.0
-"""First time for which a failing worker is left out; it doubles with each further time."""
+"""Length of a worker's first ejection; it doubles with each further one."""
 
 REPORT_VALIDITY_S = 6.0
-"""Time for which the fleet's holder may act on a report: the report's age, the holder's proof of
-its duty, the time-out of its order, and a heartbeat."""
+"""Time for which the fleet leader may act on a report: the maximum age of the report, the interval
+at which the leader confirms its role, the timeout of its order, and a heartbeat."""
 
 MAX_EJECT_S = 16.0
-"""Longest time for which a failing worker is left out, so that it is tried again."""
+"""Bounds an ejection so that a recovered worker is used again."""
 
 
 @dataclass(eq=False)
 class WorkerLoad:
-    """One worker as its pool's owner counts it."""
+    """The load of one worker as counted by the owner of its pool."""
 
     worker: Worker
     usage: AccountUsage = field(default_factory=AccountUsage)
-    """What accounts have running in the pool."""
+    """Usage by account, shared by all workers of the pool."""
     tasks: set[Task] = field(default_factory=set)
     suspected_tasks: set[Task] = field(default_factory=set)
-    """Those of its tasks that may have brought an earlier worker down."""
+    """Its tasks that may have crashed another worker before."""
     has_unknown_runs: bool = False
-    """It carries runs that take room and are not counted here; they are being stopped."""
+    """It has runs that take capacity but are not counted here; they are being stopped."""
     reserved: bool = False
-    """It gets no new tasks but one suspect, see `_crash_attribution`."""
+    """Its only new task will be one suspected task, see `_crash_attribution`."""
     silent_at: float = 0.0
     """Monotonic time at which it last stopped answering, in seconds."""
     cpu_millis: int = 0
@@ -51,24 +51,24 @@
     reachable: bool = False
     """Whether it answered the last call."""
     evacuating: bool = False
-    """It is kept empty for the fleet's holder."""
+    """It gets no new tasks, on behalf of the fleet leader."""
     evacuation_requested: bool = False
-    """The holder was heard of lately, and wants it emptied."""
+    """The latest, still fresh request of the fleet leader is to evacuate it."""
     evacuation_reported_at: float = float("-inf")
-    """Monotonic time at which a report last told the holder so."""
+    """Monotonic time of the last report that confirmed the evacuation, in seconds."""
     reported_tasks: int = 0
-    """Tasks that the last report told of."""
+    """Number of tasks in the last report."""
     throttled_at: float = 0.0
-    """Monotonic time of the last change of pace of its filling tasks."""
+    """Monotonic time at which its best-effort tasks were last throttled or sped up, in seconds."""
     leaves_at: float | None = None
-    """Monotonic time at which the worker may be gone, if it said so."""
+    """Monotonic time at which the worker may be gone, if it announced that, in seconds."""
     paused_until: float = 0.0
-    """Monotonic time until which it gets no new tasks, in seconds."""
+    """Monotonic time until which it gets no new tasks after failures or a refusal, in seconds."""
     failures: int = 0
     ejections: int = 0
 
     def add(self, task: Task) -> None:
-        """Count a task."""
+        """Add a task to the load."""
         if task in self.tasks:
             return
         self.tasks.add(task)
@@ -77,7 +77,7 @@
         self._count(task, 1)
 
     def remove(self, task: Task) -> None:
-        """Count a task no longer."""
+        """Remove a task from the load."""
         if task not in self.tasks:
             return
         self.tasks.remove(task)
@@ -94,13 +94,14 @@
 
     @property
     def instance(self) -> InstanceId:
-        """Return what the worker runs on; its own id where it names no instance."""
+        """Return the worker's instance, or its own id if it reports none."""
         return self.worker.instance or InstanceId(self.worker.id)
 
     def update_evacuation(self, wanted: bool | None, now: float) -> bool:
-        """Take the holder's word, None if it is silent; return whether anything changes.
+        """Apply the fleet leader's request, None if it has none fresh; return whether that changes.
 
-        What a report told is acted on for a while, also by a holder that is not heard of any more.
+        Without a fresh request, a reported evacuation stays in force for a while, because the
+        leader may still act on that report.
         """
         self.evacuation_requested = bool(wanted)
         kept = wanted is None and now - self.evacuation_reported_at < REPORT_VALIDITY_S
@@ -111,61 +112,62 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the worker's end is planned."""
+        """Whether the worker is being evacuated or drained."""
         return self.evacuating or self.worker.state is WorkerState.DRAINING
 
     def accepts_tasks(self, now: float) -> bool:
-        """Whether the worker may be given tasks now."""
+        """Whether the worker can be given tasks now."""
         ready = self.listed and self.worker.state is WorkerState.READY
         answers = self.reachable and not self.has_unknown_runs
         return ready and answers and not self.evacuating and now >= self.paused_until
 
     def is_overcommitted(self) -> bool:
-        """Whether what is counted here exceeds the room, which may have shrunk since."""
-        room = self.worker.capacity
+        """Whether the load exceeds the capacity, which may have shrunk since assignments."""
+        capacity = self.worker.capacity
         return (
-            self.cpu_millis > room.cpu_millis
-            or self.memory_mb > room.memory_mb
-            or self.accelerators > room.accelerators
+            self.cpu_millis > capacity.cpu_millis
+            or self.memory_mb > capacity.memory_mb
+            or self.accelerators > capacity.accelerators
         )
 
     def fits(self, spec: StepRecord) -> bool:
-        """Whether one more task of a step has room."""
-        room = self.worker.capacity
+        """Whether one more task of a step fits in the free capacity."""
+        capacity = self.worker.capacity
         cpu = 0 if spec.fills else spec.cpu_millis
         return (
-            self.cpu_millis + cpu <= room.cpu_millis
-            and self.memory_mb + spec.memory_mb <= room.memory_mb
-            and self.accelerators + spec.accelerators <= room.accelerators
+            self.cpu_millis + cpu <= capacity.cpu_millis
+            and self.memory_mb + spec.memory_mb <= capacity.memory_mb
+            and self.accelerators + spec.accelerators <= capacity.accelerators
         )
 
     def has_label(self, spec: StepRecord) -> bool:
-        """Whether the worker has the label that a step requires, if it requires one."""
+        """Whether the worker has the label that a step requires, if any."""
         return not spec.required_label or spec.required_label in self.worker.labels
 
     def meets_constraints(self, group: StepGroup) -> bool:
-        """Whether the step's label and spread permit one more of its tasks here."""
+        """Whether the step's required label and maximum per worker permit one more of its tasks."""
         spec = group.spec
         if not self.has_label(spec):
             return False
         if not spec.max_per_worker:
             return True
-        held = sum(1 for task in self.tasks if task.group is group)
-        return held < spec.max_per_worker
+        assigned = sum(1 for task in self.tasks if task.group is group)
+        return assigned < spec.max_per_worker
 
     def can_take(self, group: StepGroup, now: float) -> bool:
-        """Whether one more task of a step may be given to the worker now."""
+        """Whether one more task of a step can be given to the worker now."""
         return self.accepts_tasks(now) and self.fits(group.spec) and self.meets_constraints(group)
 
     def utilization(self) -> float:
-        """Return how full the worker is, by its scarcest resource."""
-        room = self.worker.capacity
+        """Return the utilization of the worker's scarcest resource, processor or memory."""
+        capacity = self.worker.capacity
         return max(
-            self.cpu_millis / max(1, room.cpu_millis), self.memory_mb / max(1, room.memory_mb)
+            self.cpu_millis / max(1, capacity.cpu_millis),
+            self.memory_mb / max(1, capacity.memory_mb),
         )
 
     def note_result(self, well: bool, now: float) -> bool:
-        """Count how a task ended; return whether the worker is left out from now on."""
+        """Count the end of a task; return whether the worker is ejected now."""
         if well:
             self.failures = 0
             self.ejections = 0
