--- a/pumicespur/commands/explain.py
+++ b/pumicespur/commands/explain.py
@@ -21,7 +21,7 @@
         "pool lost",
         "pool released",
         "commit not answered",
-        "worker lost",
+        "worker unreachable",
         "worker gone",
         "worker ejected",
         "configuration in force",
--- a/pumicespur/jobs/_estimates.py
+++ b/pumicespur/jobs/_estimates.py
@@ -25,7 +25,7 @@
 
 @dataclass
 class RouteEstimator:
-    """Linear regression of actual on declared durations, both logarithmic; the prior has slope one."""
+    """Linear regression of log actual on log declared durations, with a prior of slope one."""
 
     weight: float = 0.0
     sum_declared: float = 0.0
--- a/pumicespur/jobs/_known_state.py
+++ b/pumicespur/jobs/_known_state.py
@@ -1,9 +1,9 @@
-"""What an owner knows of the world when it gives an order, and how old that may be.
+"""The state that an owner's orders depend on, and how stale it may be.
 
-A start is decided on what was read, recorded, and then ordered. A worker that says it leaves, or a
-caller that cancels, has to be heeded within a time that the platform sets, counted from the store's
-confirmation. What was asked for at some moment shows all that was confirmed before; so a start is
-in time if it begins before that moment is as long ago as the time allowed.
+A start is decided on tables that were read, then recorded, then ordered. The platform limits the
+time between the store's confirmation that a worker leaves or a job is cancelled, and the last start
+there. A read shows everything that was confirmed before it was requested. So a start is in time if
+it begins before the age of that request exceeds the time allowed.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
     from pumicespur.schema.node_pb import WorkerSettings
 
 START_CALL_RATIO = 0.25
-"""Share of the time allowed that the call of a start may take; the rest is for what it rests on."""
+"""Share of the time allowed for the call of a start; the rest is for the age of the tables."""
 
 
 def start_timeout_s(settings: WorkerSettings) -> float:
-    """Return how long the call of a start is waited for, in seconds."""
+    """Return the timeout of the call of a start, in seconds."""
     return min(settings.call_timeout_s, START_CALL_RATIO * settings.drain_ms / 1000)
 
 
 def workers_max_age_s(settings: WorkerSettings) -> float:
-    """Return the age of the list of workers up to which starts are ordered, in seconds."""
+    """Return the maximum age of the list of workers for starts, in seconds."""
     return settings.drain_ms / 1000 - start_timeout_s(settings)
 
 
 def submissions_max_age_s(settings: WorkerSettings) -> float:
-    """Return the age of what is known of cancellations up to which starts are ordered (s)."""
+    """Return the maximum age of the known cancellations for starts, in seconds."""
     return settings.cancel_ms / 1000 - start_timeout_s(settings)
 
 
 @dataclass(frozen=True)
 class KnownState:
-    """How far an owner knows the tables that its orders rest on."""
+    """Versions and ages of the tables that an owner's orders depend on."""
 
     workers: Reading = field(default_factory=Reading)
-    """Workers: which there are, whether they leave, their room and labels."""
+    """The workers, whether they leave, their capacity and labels."""
     submissions: Reading = field(default_factory=Reading)
-    """Jobs of the pool: which there are, and which were cancelled."""
+    """The jobs of the pool and their cancellations."""
     configuration: int = -1
     """Version of the configuration in force here."""
 
     def staleness_reason(self, settings: WorkerSettings, now: float) -> str:
-        """Return what is known too little of for a start to be ordered; empty if nothing is."""
+        """Return which table is too old for a start to be ordered; empty if none is."""
         if self.workers.age_s(now) > workers_max_age_s(settings):
             return "the list of workers is out of date"
         if self.submissions.age_s(now) > submissions_max_age_s(settings):
@@ -55,7 +55,7 @@
         return ""
 
     def valid_for_s(self, settings: WorkerSettings, now: float) -> float:
-        """Return for how long a start that rests on them may still begin, in seconds."""
+        """Return for how long a start that depends on them may still begin, in seconds."""
         return min(
             settings.drain_ms / 1000 - self.workers.age_s(now),
             settings.cancel_ms / 1000 - self.submissions.age_s(now),
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -1,4 +1,4 @@
-"""The owner of a pool: takes it over, records what it decides, orders what is recorded."""
+"""The owner of a pool: loads its state, records decisions, then sends the recorded orders."""
 
 from __future__ import annotations
 
@@ -44,36 +44,36 @@
 log = Logger(__name__)
 
 COMMIT_DELAY_S = 0.004
-"""Time for which changes are gathered into one commit; about one answer of the store."""
+"""Time to gather changes into one commit; about one response time of the store."""
 
 MAX_JOBS_PER_COMMIT = 45
-"""Two rows for each job that ends, and the owner's own, stay under 100 entries."""
+"""An ended job takes two rows; with the owner's own rows a commit stays under 100 entries."""
 
 MAX_ALLOTMENTS_PER_COMMIT = 40
-"""One row each, beside those of the jobs."""
+"""One row each, in addition to the rows of the jobs."""
 
 IDLE_COMMIT_INTERVAL_S = 1.0
-"""An owner with nothing to record proves this often that it still owns the pool."""
+"""How often an owner with nothing to record confirms that it still owns the pool."""
 
 MAX_ROUND_INTERVAL_S = 0.25
-"""Longest pause between placements, for work that falls due by time alone."""
+"""Longest pause between placement rounds, for work that becomes due by time alone."""
 
 MAX_EVACUATION_AGE_S = 3.0
-"""Oldest word of the fleet's holder that is followed; a few heartbeats."""
+"""Maximum age of the fleet leader's evacuation list; a few heartbeats."""
 
 WORKERS_POLL_INTERVAL_S = 0.01
-"""Pause between looks whether the list of workers is known."""
+"""Pause between checks whether the list of workers is known."""
 
 MOVE_DELAY_S = 1.5
-"""Time after a takeover before tasks are moved: stops that the owner before gave take effect."""
+"""Delay of moves after a takeover, so that stops ordered by the previous owner take effect."""
 
 RETENTION_MS = 180_000
-"""How long the state of an ended job is kept; callers may ask for it for 120 s."""
+"""How long the state of an ended job is kept; callers may query it for 120 s."""
 
 
 @dataclass
 class Batch:
-    """What one commit records, and what it allows once it is recorded."""
+    """The writes of one commit, and the actions that follow once it is recorded."""
 
     writes: list[Write] = field(default_factory=list)
     ended: list[Job] = field(default_factory=list)
@@ -107,14 +107,14 @@
         self.watches: dict[WorkerId, WorkerSession] = {}
         self.restarts = Restarts(settings.workers, earlier_leases)
         self.request_heartbeat = request_heartbeat
-        """Asks for a heartbeat at once."""
+        """Requests an immediate heartbeat."""
         self.size = PoolSizer(self.pool, request_heartbeat)
         self.submissions = SubmissionFollower(
             self.pool, table, view, settings, self.wake, self.size.note_arrival
         )
         self.parts = AllotmentExchange(self.pool.limits, table, view, request_heartbeat)
         self.start_block_reason = ""
-        """Why no start is decided at present; empty if they are."""
+        """Why tasks are not placed at present; empty if they are."""
         self.stopping = False
         self.stopped = anyio.Event()
         self.ready = False
@@ -122,24 +122,24 @@
         self.tasks: TaskGroup | None = None
 
     def wake(self) -> None:
-        """Ask for a round."""
+        """Request a round."""
         self.changed.set()
 
     def hear_parts(self) -> None:
-        """Take in what other owners told of accounts' parts; only what moves asks for a round.
+        """Apply other owners' reports on allotments; request a round only if a transfer is due.
 
-        With a round for each report, owners of pools in overload did little but place again.
+        With a round for every report, owners of overloaded pools spent their time on placement.
         """
         if self.ready and self.parts.apply_reports(monotonic()):
             self.wake()
 
     def spawn(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
-        """Run something beside the rounds, for as long as the pool is owned."""
+        """Run a coroutine concurrently with the rounds, for as long as the pool is owned."""
         if self.tasks is not None:
             self.tasks.start_soon(function, *arguments)
 
     def known_state(self) -> KnownState:
-        """Return what is known at present of what orders rest on."""
+        """Return the current versions and ages of the tables that orders depend on."""
         return KnownState(
             workers=self.view.workers_reading,
             submissions=self.submissions.reading,
@@ -147,15 +147,15 @@
         )
 
     def may_renew_leases(self, now: float) -> bool:
-        """Whether leases may still be extended; a successor counts on it that they are not."""
+        """Whether leases may be renewed; a successor relies on no renewals after a silence."""
         silence_s = self.settings.workers.owner_silence_s
         return not self.stopping and now - self.journal.confirmed_at < silence_s
 
     async def run(self) -> None:
-        """Own the pool until it is lost, or given up after `stop`."""
+        """Own the pool until it is lost, or released after `stop`."""
         try:
-            # Side by side: each of them waits for a few answers of the store, half a second with a
-            # slow one, and none needs what another reads.
+            # The reads are independent. Each waits for a few responses of the store, half a second
+            # with a slow store, so they run concurrently.
             async with anyio.create_task_group() as readers:
                 readers.start_soon(self.journal.load)
                 readers.start_soon(self.parts.load)
@@ -179,13 +179,13 @@
             self.stopped.set()
 
     async def stop(self) -> None:
-        """Give the pool up: order nothing more, record what is known, name no owner."""
+        """Release the pool: send no more orders, record all changes, clear the owner."""
         self.stopping = True
         self.wake()
         await self.stopped.wait()
 
     async def _wait_for_workers(self) -> None:
-        """Wait for the list of workers: tasks on workers that are not listed start elsewhere."""
+        """Wait for the list of workers, since tasks on unlisted workers are requeued."""
         while not self.view.workers_known and not self.stopping:
             await anyio.sleep(WORKERS_POLL_INTERVAL_S)
 
@@ -201,17 +201,17 @@
         )
 
     def sync_workers(self) -> None:
-        """Watch the workers that the store lists for this pool."""
+        """Open and end worker sessions to match the workers that the store lists for this pool."""
         if self.tasks is None:
             return
         listed = {w.id: w for w in self.view.workers.values() if w.pool == self.ownership.pool}
-        # First the lives that are over: what they leave is taken over by the next ones.
+        # Ended incarnations come first: the next ones adopt their unconfirmed starts.
         for session in list(self.watches.values()):
             if session.id not in listed:
                 self._note_unlisted(session)
-        living = self.restarts.current_incarnations(listed)
-        self._open_sessions([worker for worker in living if worker.id not in self.watches])
-        for worker in living:
+        current = self.restarts.current_incarnations(listed)
+        self._open_sessions([worker for worker in current if worker.id not in self.watches])
+        for worker in current:
             known = self.watches.get(worker.id)
             if known is not None:
                 if known.load.worker.state is not worker.state:
@@ -232,15 +232,15 @@
             session.end("its instance runs another worker")
 
     def note_restart(self, worker: WorkerId, *, leased: bool) -> None:
-        """Note that a life of a worker is over although the store may still list it."""
+        """Note that an incarnation of a worker has ended, even if the store still lists it."""
         self.restarts.note_ended(worker, monotonic(), leased=leased)
 
     def note_revoked(self, worker: WorkerId, run: RunKey) -> None:
-        """Note that a worker was told to refuse a run whose start may still be done late."""
+        """Note that a run was revoked whose start order may still be executed late."""
         self.restarts.note_revoked(worker, run, monotonic())
 
     def _open_sessions(self, workers: Sequence[Worker]) -> None:
-        """Follow lives of workers that are not followed yet."""
+        """Open sessions for incarnations that have none yet."""
         if not workers:
             return
         assigned = self.pool.assigned_tasks()
@@ -248,10 +248,10 @@
         for worker in workers:
             self._open_session(worker, assigned.get(worker.name, ()), worker.id in lost)
 
-    def _open_session(self, worker: Worker, tasks: Iterable[Task], blamed: bool) -> None:
-        """Follow a life of a worker, with the starts that an earlier owner or life left open."""
+    def _open_session(self, worker: Worker, tasks: Iterable[Task], loss_attributed: bool) -> None:
+        """Open a session that adopts the starts left by an earlier owner or incarnation."""
         session = WorkerSession(self, worker, self.restarts.unknown_leases(worker, monotonic()))
-        session.loss_attributed = blamed
+        session.loss_attributed = loss_attributed
         for task in tasks:
             session.starts.adopt(task, self.ownership.acquired_at)
         session.to_revoke = self.restarts.revoked_runs(worker, monotonic())
@@ -260,7 +260,7 @@
         self.spawn(session.run)
 
     def _has_next_incarnation(self, session: WorkerSession) -> bool:
-        """Whether a worker tells another birth, by an entry that names a known pool."""
+        """Whether the store lists another live incarnation of the worker, in a known pool."""
         found = self.view.workers.get(session.load.worker.name)
         pools = self.view.configuration.pools
         if found is None or found.id == session.id or self.restarts.has_ended(found.id):
@@ -268,7 +268,7 @@
         return found.pool in pools or found.pool == self.ownership.pool
 
     def _has_successor(self, session: WorkerSession) -> bool:
-        """Whether a newer life runs on a worker's instance, by an entry that names a known pool."""
+        """Whether the store lists another worker on the same instance, in a known pool."""
         instance = session.load.worker.instance
         pools = self.view.configuration.pools
         return bool(instance) and any(
@@ -279,21 +279,21 @@
         return self.watches.get(task.worker) if task.worker else None
 
     def forget(self, worker: WorkerId) -> None:
-        """Drop a worker whose life is over."""
+        """Drop the session of an ended incarnation."""
         self.watches.pop(worker, None)
 
     def _requeue_expired_starts(self, now: float) -> None:
-        """Let tasks start elsewhere whose worker has not come back in any life."""
-        lives = self.restarts.take_expired(now)
-        if not lives:
+        """Requeue tasks whose worker restarted and has not been seen since, once that is safe."""
+        expired = self.restarts.take_expired(now)
+        if not expired:
             return
         for job in list(self.pool.jobs.values()):
             for task in job.tasks:
-                if task.worker in lives and not job.ended:
+                if task.worker in expired and not job.ended:
                     self._requeue_lost(task, "its worker did not come back")
 
     def _requeue_lost(self, task: Task, reason: str) -> None:
-        """Let a task start elsewhere that is lost with a worker that is not followed."""
+        """Requeue a task that was lost with a worker without a session."""
         assert task.worker is not None
         log.info("start undone", job=task.job.id, task=task.name, reason=reason)
         instance = InstanceId(worker_name(task.worker))
@@ -301,7 +301,7 @@
         self.pool.requeue(task)
 
     async def _requeue_unlisted(self) -> None:
-        """Let tasks on workers that the store does not list start elsewhere, once that is safe."""
+        """Requeue tasks on unlisted workers once all leases of earlier owners have expired."""
         while monotonic() < self.earlier_leases.until:
             await anyio.sleep(
                 min(MAX_ROUND_INTERVAL_S, max(0.0, self.earlier_leases.until - monotonic()))
@@ -315,7 +315,7 @@
         self.wake()
 
     def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
-        """Take in the end of a run; it is acknowledged once it is recorded."""
+        """Process the end of a run; it is acknowledged once it is recorded."""
         task = self.pool.find_task(end.task)
         log.info(
             "task ended",
@@ -333,7 +333,7 @@
         self.wake()
 
     async def _rounds(self) -> None:
-        """Place, record, then order what is recorded; again and again."""
+        """Repeat rounds: place tasks, record changes, then send the recorded orders."""
         while True:
             with anyio.move_on_after(MAX_ROUND_INTERVAL_S):
                 await self.changed.wait()
@@ -359,7 +359,7 @@
                 return
 
     def _update_limits(self, now: float) -> None:
-        """Judge by the newest limits, and by none while newer ones must be in force."""
+        """Apply the newest account limits; mark them stale while newer ones may be in force."""
         limits = self.pool.limits
         limits.set_accounts(self.view.configuration.accounts)
         settings = self.settings
@@ -375,12 +375,12 @@
             )
 
     def _may_start(self, now: float) -> bool:
-        """Whether enough is known for starts to be decided; leases go on in any case."""
+        """Whether the known state is fresh enough to place tasks; leases are renewed regardless."""
         reason = self.known_state().staleness_reason(self.settings.workers, now)
         if reason != self.start_block_reason:
             self.start_block_reason = reason
             log.warning(
-                "starts held back" if reason else "starts go on",
+                "starts suspended" if reason else "starts resumed",
                 pool=self.pool.pool,
                 reason=reason,
                 **self.known_state().describe(now),
@@ -388,14 +388,14 @@
         return not reason
 
     def _throttle(self) -> None:
-        """Slow filling tasks down where tasks that serve users suffer."""
+        """Throttle best-effort tasks beside tasks that miss their latency objective."""
         for task, percent in choose_speed_changes(self.pool.loads.values(), monotonic()):
             session = self._session_of(task)
             if session is not None:
                 self.spawn(session.throttle, task, percent)
 
     def _evacuate(self) -> None:
-        """Keep new tasks off workers that are to be emptied, and move lasting ones away."""
+        """Keep new tasks off workers to be evacuated and move long-running ones away."""
         self._update_evacuations()
         now = monotonic()
         if now - self.ownership.acquired_at < MOVE_DELAY_S:
@@ -406,24 +406,24 @@
                 task.stop_sent_at = now
                 task.stopping_run = task.run
                 task.unavailable_since = now
-                self.spawn(session.stop, task.name, task.run, "its worker is to be emptied")
+                self.spawn(session.stop, task.name, task.run, "its worker is being evacuated")
 
     def _update_evacuations(self) -> None:
-        """Take in which workers are to be emptied, and tell at once what has become empty."""
+        """Update which workers are to be evacuated; report evacuated ones at once."""
         names = self.view.evacuations(MAX_EVACUATION_AGE_S)
         now = monotonic()
-        news = False
+        has_news = False
         for load in self.pool.loads.values():
             wanted = None if names is None else load.worker.name in names
             if load.update_evacuation(wanted, now):
-                news = True
+                has_news = True
             if load.evacuating and not load.tasks and load.reported_tasks:
-                news = True
-        if news:
+                has_news = True
+        if has_news:
             self.request_heartbeat()
 
     def _collect(self) -> Batch:
-        """Gather what changed; ends are acknowledged only when every change is in."""
+        """Collect changes for a commit; acknowledge ends only if it includes every change."""
         batch = Batch()
         now = now_ms()
         batch.parts = self.pool.limits.take_changed(MAX_ALLOTMENTS_PER_COMMIT)
@@ -435,14 +435,14 @@
             batch.writes.append(Write(key, job.progress(now).to_binary()))
             if job.ended:
                 batch.ended.append(job)
-        taken = set(dirty)
-        left = [task for task in self.pool.newly_placed if task.job not in taken]
+        included = set(dirty)
+        remaining = [task for task in self.pool.newly_placed if task.job not in included]
         batch.starts = [
             (task, task.run, task.worker)
             for task in self.pool.newly_placed
-            if task.job in taken and task.worker and task.state is TaskState.PLACED
+            if task.job in included and task.worker and task.state is TaskState.PLACED
         ]
-        self.pool.newly_placed = left
+        self.pool.newly_placed = remaining
         if not self.pool.dirty:
             batch.acknowledged = [
                 (session, session.seen)
@@ -454,7 +454,7 @@
         return batch
 
     def _drop_expired(self, batch: Batch, now: int) -> None:
-        """Forget jobs that ended long ago: their submission first, then their progress."""
+        """Delete jobs past their retention: the submission row first, then the progress row."""
         cleanup = self.submissions.cleanup
         for job, at in self.submissions.ended.items():
             if now - at > RETENTION_MS and job not in cleanup.removing:
@@ -465,7 +465,7 @@
 
     def _carry_out(self, batch: Batch) -> None:
         now = now_ms()
-        # The commit may have taken long: what was heard meanwhile counts for its orders too.
+        # The commit may have taken long: apply what was received meanwhile before sending orders.
         self._update_evacuations()
         self._update_limits(monotonic())
         self.parts.note_recorded(batch.parts)
@@ -485,7 +485,7 @@
             self.wake()
 
     def stop_gang(self, group: StepGroup, run: int) -> None:
-        """Stop the other members of a gang, one of which did not start; all start again."""
+        """Stop the other members of a gang after one did not start; all of them start again."""
         for task in group.tasks:
             session = self._session_of(task)
             if session is not None and task.run == run:
@@ -498,7 +498,7 @@
                 self.spawn(session.stop, task.name, task.run, f"job {job.phase.name.lower()}")
 
     def report(self) -> PoolReport:
-        """Tell the other processes about the pool."""
+        """Return the pool's report to other processes."""
         report = report_pool(self.pool, self.token)
         self.size.fill_report(report)
         report.parts = self.parts.report()
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -14,7 +14,7 @@
     exceeds_loss_limit,
     has_unproven_tasks,
     reserve_quarantine_workers,
-    withdraw_loss,
+    retract_worker_loss,
 )
 from pumicespur.jobs._describe import explain_failure
 from pumicespur.jobs._estimates import DurationEstimates
@@ -220,7 +220,7 @@
 
     def retract_loss(self, task: Task, worker: WorkerId) -> None:
         """Remove a worker loss from a task that turned out to run elsewhere."""
-        withdraw_loss([task], worker)
+        retract_worker_loss([task], worker)
         self.dirty.add(task.job)
 
     def assigned_tasks(self) -> dict[WorkerName, list[Task]]:
@@ -255,7 +255,7 @@
     def retract_losses(self, load: WorkerLoad) -> None:
         """Remove the loss of a worker that answers again from all tasks."""
         tasks = (task for job in self.jobs.values() if not job.ended for task in job.tasks)
-        self.dirty.update(task.job for task in withdraw_loss(tasks, load.worker.id))
+        self.dirty.update(task.job for task in retract_worker_loss(tasks, load.worker.id))
 
     def _fail_job(self, task: Task, lost_workers: Sequence[WorkerId] = ()) -> None:
         failure = FailureRecord(
--- a/pumicespur/jobs/_submission_follower.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -124,7 +124,7 @@
         if job is not None:
             self.note_arrival(job)
             log.info(
-                "job known",
+                "job received",
                 job=job.id,
                 route=job.route,
                 pool=self.pool.pool,
--- a/pumicespur/jobs/_unconfirmed_starts.py
+++ b/pumicespur/jobs/_unconfirmed_starts.py
@@ -1,8 +1,8 @@
-"""Starts ordered to one life of a worker, until an account of that life tells of them.
+"""Starts ordered on one incarnation of a worker, until a status of that incarnation lists them.
 
-A worker that starts again keeps its name and its address, so that a start on its way to one life
-may be done by the next one. Such a start is lost with neither: it is carried over to the next
-life, where it is found running or barred before its task starts elsewhere.
+A restarted worker keeps its name and address, so that a start sent to one incarnation may be
+executed by the next one. Such a start is not dropped with the ended incarnation: the next one
+adopts it, and it is found running or is revoked there before its task is requeued.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 
 @dataclass
 class UnresolvedStart:
-    """A start of which it is not known whether the worker took it."""
+    """A start of which it is not known whether the worker accepted it."""
 
     run: int
     since: float
-    """When its call was given up (monotonic seconds); only accounts asked for later tell."""
+    """When its call was given up (monotonic seconds); only later requested statuses are conclusive."""
     revoked_at: float | None = None
-    """When a run that had not begun was known to be kept from it (monotonic seconds)."""
+    """When the worker confirmed that the run is revoked (monotonic seconds)."""
     ordered_to: WorkerId | None = None
-    """The earlier life that it was ordered to, if it was not this one."""
+    """The earlier incarnation that it was ordered on, if it was not this one."""
 
 
 @dataclass
 class UnconfirmedStarts:
-    """Starts that were ordered and that no account of the life has told of yet."""
+    """Ordered starts that no status of the incarnation has listed yet."""
 
     tasks: set[Task] = field(default_factory=set)
 
     def remove_confirmed(self, worker: WorkerId, running: Container[RunKey]) -> None:
-        """Take out what the worker lists as running, and what has ended or is ordered no more."""
+        """Remove tasks that the worker lists as running, that have ended or are assigned elsewhere."""
         self.tasks = {
             task
             for task in self.tasks
--- a/pumicespur/jobs/_worker_session.py
+++ b/pumicespur/jobs/_worker_session.py
@@ -1,4 +1,4 @@
-"""One task for each worker of an owned pool: extend its lease, take in what it tells."""
+"""A session with each worker of an owned pool: renews its lease and applies its status."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pumicespur.jobs._crash_attribution import (
     QUARANTINE_POLL_TIMEOUT_S,
     count_unproven_suspects,
-    note_running,
+    note_run_time,
 )
 from pumicespur.jobs._job import TaskState
 from pumicespur.jobs._journal import OwnershipLostError
@@ -36,17 +36,17 @@
 """Pause after a call that failed; a few round trips."""
 
 UNCONFIRMED_POLL_DELAY_S = 0.02
-"""Pause before an status is asked for again that did not tell of every start; a few answers."""
+"""Pause before the next poll while starts are unconfirmed; a few response times."""
 
 LEASE_EXPIRY_MARGIN_S = 0.3
-"""Time beyond the end of a lease that a worker is given to end its tasks and a late timer."""
+"""Extra time after a lease expires, for late timers and for the worker to end its tasks."""
 
 ACTIVE_PERCENT = 100
-"""Percent of a long-running task that is at work."""
+"""Progress that a long-running task reports while it works."""
 
 
 class WorkerSession:
-    """The owner's dealings with one life of a worker."""
+    """The owner's session with one incarnation of a worker."""
 
     def __init__(self, owner: SessionOwner, worker: Worker, earlier: EarlierLeases) -> None:
         self.owner = owner
@@ -55,27 +55,30 @@
         self.lease = WorkerLease(owner.settings.workers.clock_drift, earlier)
         self.starts = WorkerStarts(self)
         self.seen = 0
-        """Number of the newest end that was taken in."""
+        """Number of the newest end that was processed."""
         self.recorded = 0
         """Number of the newest end that is recorded."""
         self.acknowledged = 0
         """Number up to which the worker may be told to drop its ends, see `_end_to_acknowledge`."""
         self.has_retained_ends = False
-        """The last status listed ends that can't be dropped yet; the next one comes at once."""
+        """Whether the last status listed ends that can't be acknowledged yet.
+
+        The worker then responds to the next poll at once, so the poll is delayed instead.
+        """
         self.unwanted_runs = UnwantedRuns()
         self.changed = anyio.Event()
         self.failures = 0
-        """Looks in a row that got no response."""
+        """Consecutive failed calls."""
         self.gone = False
         self.restarted = False
-        """The worker has another life, to which open starts were left."""
+        """Whether the worker restarted, which leaves unconfirmed starts to its next incarnation."""
         self.to_revoke: list[RunKey] = []
-        """Runs that an earlier life was told to refuse and this one has to refuse as well."""
+        """Runs revoked on an earlier incarnation that must be revoked on this one too."""
         self.loss_attributed = False
-        """Tasks carry the worker's loss, which is taken back if it answers again."""
+        """Whether tasks carry the loss of this worker, to be retracted if it responds again."""
 
     async def run(self) -> None:
-        """Follow the worker until its life is over."""
+        """Poll the worker until its incarnation ends."""
         while not self.gone:
             await self._revoke_again()
             await self._wait_until_recorded()
@@ -89,7 +92,7 @@
         self.owner.forget(self.id)
 
     async def _revoke_again(self) -> None:
-        """Tell a next life what it has to refuse, before anything else and until it has heard."""
+        """Revoke runs on a new incarnation before anything else, repeated until it confirms."""
         for run in list(self.to_revoke):
             stopped = await self.owner.orders.stop(self.load.worker, self.owner.token, *run)
             if not stopped.is_ok():
@@ -111,30 +114,31 @@
         self.changed.set()
 
     def _update_acknowledged(self) -> None:
-        """Let the worker drop the ends that are recorded, once no start is open."""
+        """Allow the worker to drop recorded ends while no start is unconfirmed."""
         if not self.starts.unconfirmed.tasks:
             self.acknowledged = self.recorded
 
     def _end_to_acknowledge(self) -> int:
-        """Return up to which end the worker is told to drop what it lists; 0 for none.
+        """Return the number up to which the worker may drop its ends; 0 for none.
 
-        A life that began meanwhile would drop its own ends under these numbers, unread. It has
-        ended nothing that matters unless an open start reached it, so that none is named while
-        there is one, not even what was dropped before.
+        Each incarnation numbers its ends from one. If the worker restarted meanwhile, it would
+        drop unread ends of its own with these numbers. Its ends matter only if an unconfirmed
+        start reached it, so nothing is acknowledged while one exists, not even what was
+        acknowledged before.
         """
         return 0 if self.starts.unconfirmed.tasks else self.acknowledged
 
     async def _poll(self, now: float) -> bool:
-        """Extend the lease and read the status; return whether to look again at once."""
+        """Renew the lease and read the status; return whether to poll again at once."""
         settings = self.owner.settings.workers
         wait_s = settings.watch_s if self.lease.clock_ms is not None else 0.0
         if self.load.reserved or count_unproven_suspects(self.load):
             wait_s = min(wait_s, QUARANTINE_POLL_TIMEOUT_S)
         if self.seen > self.acknowledged or self.starts.unresolved or self.failures:
             wait_s = 0.0
-        # A worker that did not response is promised nothing more, so that its lease does end. What
-        # answers next may be another life: it must not drop its own ends under the numbers of
-        # before, nor go on for long by a deadline on a clock that it has set back.
+        # A worker that did not respond gets no new deadline, so that its lease does expire. The
+        # next response may come from another incarnation, which numbers its ends anew and whose
+        # clock starts anew: it must not drop unread ends, nor run for long by an old deadline.
         silent = self.failures > 0
         deadline = None if silent else self.lease.grant(now, settings.lease_s)
         last_seen = 0 if silent else self._end_to_acknowledge()
@@ -149,7 +153,7 @@
                 await self._apply_status(status, now)
                 return not self.starts.unresolved
             case Result(error=OtherLife()):
-                self.end("another life answers")
+                self.end("another incarnation responded")
                 return True
             case Result(error=StartedAgain()):
                 self.end_restarted(leased=deadline is not None)
@@ -161,36 +165,38 @@
                 return False
 
     def _log_inconsistencies(self, status: Account, acknowledged: int) -> None:
-        """Log what a worker can't tell that is the same life as before."""
+        """Log a clock that went back or ends listed again, which one incarnation can't report."""
         clock_ms = self.lease.clock_ms or 0.0
         again = [end.number for end in status.ended if end.number <= acknowledged]
         if status.clock_ms >= clock_ms and not again:
             return
         log.warning(
-            "worker contradicts itself",
+            "worker status inconsistent",
             pool=self.owner.pool.pool,
             worker=self.id,
             clock_back_ms=round(max(0.0, clock_ms - status.clock_ms)),
-            ends_told_again=len(again),
+            ends_repeated=len(again),
             acknowledged=acknowledged,
         )
 
     def note_failure(self, reason: str) -> None:
-        """Note a call without an response: nothing more is given or promised for now."""
+        """Note a failed call; until the worker responds it gets no tasks and no lease renewal."""
         if self.failures == 0:
             self.owner.pool.note_silence(self.load, monotonic())
         self.failures += 1
         if self.load.reachable or self.failures == 1:
-            log.warning("worker lost", pool=self.owner.pool.pool, worker=self.id, reason=reason)
+            log.warning(
+                "worker unreachable", pool=self.owner.pool.pool, worker=self.id, reason=reason
+            )
         self.load.reachable = False
 
     async def _apply_status(self, status: Account, sent_at: float) -> None:
         if not self.load.reachable:
-            log.info("worker answers", pool=self.owner.pool.pool, worker=self.id)
+            log.info("worker reachable", pool=self.owner.pool.pool, worker=self.id)
             self.load.reachable = True
             self.owner.wake()
         if self.loss_attributed:
-            # It lives: what was lost with it was cut off, and nothing brought it down.
+            # The worker was only unreachable, so no task has crashed it.
             self.loss_attributed = False
             self.owner.pool.retract_losses(self.load)
         now = monotonic()
@@ -207,9 +213,9 @@
         self.has_retained_ends = bool(status.ended and self.starts.unconfirmed.tasks)
         await self.starts.resolve(running, sent_at)
         for name, run in self.unwanted_runs.choose(self.owner.pool, self.load, running, now):
-            self.owner.spawn(self.stop, name, run, "not wanted here")
+            self.owner.spawn(self.stop, name, run, "run not wanted on this worker")
         for task in mark_stalled(self.load, now):
-            self.owner.spawn(self.stop, task.name, task.run, "it stands still")
+            self.owner.spawn(self.stop, task.name, task.run, "no progress")
 
     def _update_running_tasks(
         self, running: dict[tuple[TaskName, int], Running], sent_at: float, now: float
@@ -225,7 +231,7 @@
                 continue
             if task.state is TaskState.STARTING:
                 self.starts.confirm(task)
-            note_running(self.load, task, sent_at - task.first_seen_at)
+            note_run_time(self.load, task, sent_at - task.first_seen_at)
             if task.percent != found.percent:
                 task.progressed_at = now
             task.percent = found.percent
@@ -235,9 +241,9 @@
             task.measurement = found.figure
 
     def _note_unknown_runs(self, running: Iterable[tuple[TaskName, int]]) -> None:
-        """Note whether the worker carries runs whose room is not counted.
+        """Note whether the worker has runs whose resources are not counted.
 
-        Such are those of jobs that had ended before this process took the pool.
+        These are runs of jobs that had ended before this process took the pool.
         """
         counted = {(task.name, task.run) for task in self.load.tasks}
         unknown = any(run not in counted for run in running)
@@ -246,7 +252,7 @@
         self.load.has_unknown_runs = unknown
 
     async def stop(self, name: TaskName, run: int, reason: str) -> None:
-        """Order a run to stop; the worker's status shows when it has."""
+        """Order a run to stop; a later worker status shows when it has stopped."""
         log.info("stop ordered", task=name, run=run, worker=self.id, reason=reason)
         response = await self.owner.orders.stop(self.load.worker, self.owner.token, name, run)
         match response:
@@ -254,36 +260,38 @@
                 log.warning("stop not answered", task=name, worker=self.id, reason=str(error))
 
     async def throttle(self, task: Task, percent: int) -> None:
-        """Let a filling task work at a share of its speed."""
+        """Limit a best-effort task to a percentage of its speed."""
         run = task.run
         response = await self.owner.orders.pace(
             self.load.worker, self.owner.token, task.name, run, percent
         )
-        taken = response.is_ok()
-        log.info("pace ordered", task=task.name, worker=self.id, percent=percent, taken=taken)
-        if taken and task.run == run:
+        accepted = response.is_ok()
+        log.info(
+            "throttle ordered", task=task.name, worker=self.id, percent=percent, accepted=accepted
+        )
+        if accepted and task.run == run:
             task.speed_percent = percent
 
     def _check_lease_expiry(self) -> None:
-        """Let tasks wait again once the worker's lease is surely over."""
+        """Requeue the worker's tasks once its lease has certainly expired."""
         if self.gone or self.load.reachable or self.failures == 0:
             return
         if monotonic() < self.lease.expires_at() + LEASE_EXPIRY_MARGIN_S:
             return
         if not self.load.listed:
-            self.end("not listed and its lease is over")
+            self.end("not listed and its lease has expired")
             return
-        # It may be cut off and come back, so that nothing is proved yet.
-        self._lose_runs("its lease is over", ended=False)
+        # The worker may only be unreachable and come back, so a crash is not certain.
+        self._lose_runs("its lease has expired", ended=False)
         self.owner.pool.resolve_inherited(self.id)
         for task in list(self.load.tasks):
             self.starts.unresolved.pop(task, None)
             self.load.remove(task)
             if task.worker == self.id and not task.job.ended:
-                self.starts.requeue_if_unchanged(task, task.run, "the worker's lease is over")
+                self.starts.requeue_if_unchanged(task, task.run, "the worker's lease has expired")
 
     def end(self, reason: str) -> None:
-        """Note that this life of the worker is over, with all that it ran."""
+        """Note that this incarnation of the worker has ended with all its runs."""
         if self.gone:
             return
         self.gone = True
@@ -295,22 +303,22 @@
         self.owner.wake()
 
     def end_restarted(self, *, leased: bool) -> None:
-        """Note that the worker has started again; open starts are left to its next life.
+        """Note that the worker restarted; its next incarnation adopts the unconfirmed starts.
 
-        `leased` tells that a deadline meant for this life may have reached the next one.
+        `leased` tells that a deadline for this incarnation may have reached the next one.
         """
         if not self.gone:
             self.restarted = True
             self.owner.note_restart(self.id, leased=leased or bool(self.starts.unconfirmed.tasks))
-            self.end("it has started again")
+            self.end("it has restarted")
 
     def _lose_runs(self, reason: str, *, ended: bool) -> None:
-        """Note and log what the worker takes along, and which of it may have brought it down."""
+        """Note and log the runs lost with the worker and the tasks that may have crashed it."""
         lost = [task for task in self.load.tasks if task.is_current_run(self.id, task.run)]
         if self.failures == 0:
             self.owner.pool.note_silence(self.load, monotonic())
-        blamed = self.owner.pool.note_lost_runs(self.load, self.starts.pending, ended=ended)
-        self.loss_attributed = self.loss_attributed or bool(blamed)
+        suspected = self.owner.pool.note_lost_runs(self.load, self.starts.pending, ended=ended)
+        self.loss_attributed = self.loss_attributed or bool(suspected)
         for task in lost:
             log.warning(
                 "run lost",
@@ -322,10 +330,10 @@
                 instance=self.load.worker.instance,
                 state=task.state.value,
                 ran_s=round(max(0.0, self.lease.last_seen_at - task.started_at), 3),
-                blamed=task in blamed,
+                suspected=task in suspected,
                 workers_lost=len(task.losses),
-                beside=len(lost) - 1,
-                emptied=self.load.evacuating,
+                others_lost=len(lost) - 1,
+                evacuating=self.load.evacuating,
                 reason=reason,
             )
             METRICS.runs_lost.inc({"pool": self.owner.pool.pool})
--- a/pumicespur/jobs/_worker_starts.py
+++ b/pumicespur/jobs/_worker_starts.py
@@ -1,4 +1,4 @@
-"""The starts ordered to one life of a worker, from the decision until their fate is known."""
+"""The starts ordered on one incarnation of a worker, from placement until they are resolved."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 log = Logger(__name__)
 
 NO_CAPACITY_PAUSE_S = 0.3
-"""Time for which a worker that refused for want of room gets nothing; about one stop."""
+"""Pause in placement on a worker that refused for lack of capacity; about one stop."""
 
 UNHEALTHY_PAUSE_S = 1.0
-"""Time for which a worker that refused as unhealthy gets nothing."""
+"""Pause in placement on a worker that refused as unhealthy."""
 
 NO_CAPACITY = "room"
 NO_TICKET = "ticket"
@@ -35,11 +35,11 @@
 
 
 StartResponse: TypeAlias = Result[None, OtherLife | Refused | Unavailable | AnswerLost]
-"""What a worker answers to a start, or that it is not known."""
+"""A worker's response to a start, or `AnswerLost` if it is unknown whether the start arrived."""
 
 
 class WorkerStarts:
-    """Orders starts on one life of a worker and settles those without an response."""
+    """Orders starts on one incarnation of a worker and resolves those without a response."""
 
     def __init__(self, session: WorkerSession) -> None:
         self.session = session
@@ -49,12 +49,12 @@
         self.lease = session.lease
         self.unconfirmed = UnconfirmedStarts()
         self.unresolved: dict[Task, UnresolvedStart] = {}
-        """Starts without an response; the worker's account settles them."""
+        """Starts without a response, which later worker statuses resolve."""
         self.pending: set[Task] = set()
-        """Tasks that are being ordered to start."""
+        """Tasks whose start call is under way."""
 
     def adopt(self, task: Task, since: float) -> None:
-        """Count a start that another process or another life of the worker was left with."""
+        """Take over a start that an earlier owner or incarnation of the worker left unresolved."""
         ordered_to = task.worker if task.worker != self.id else None
         task.worker = self.id
         task.state = TaskState.STARTING
@@ -63,19 +63,19 @@
         self.unresolved[task] = UnresolvedStart(task.run, since, ordered_to=ordered_to)
 
     async def order(self, task: Task, run: int) -> None:
-        """Order a placed task to start, now that its place is recorded."""
+        """Order a placed task to start, after its placement is recorded."""
         if (task.state, task.worker, task.run) != (TaskState.PLACED, self.id, run):
-            # While its place was recorded, an earlier run ended well or the worker was lost.
+            # While the placement was recorded, an earlier run succeeded or the worker was lost.
             return
         now = monotonic()
         settings = self.owner.settings.workers
         known, state = self.owner.known_state(), self.load.worker.state
-        # The worker refuses it once what it rests on is too old, however late it arrives.
-        hold_s = known.valid_for_s(settings, now)
-        deadline = self.lease.grant(now, settings.lease_s, hold_s)
-        against = self._reason_to_withhold(task, known, now)
-        if against or deadline is None:
-            self._undo(task, run, against or "the worker's clock is not known")
+        # With this deadline the worker refuses a start that arrives after the known state expired.
+        valid_s = known.valid_for_s(settings, now)
+        deadline = self.lease.grant(now, settings.lease_s, valid_s)
+        objection = self._reason_to_withhold(task, known, now)
+        if objection or deadline is None:
+            self._undo(task, run, objection or "the worker's clock is not known")
             return
         response = await self._send(task, run, deadline)
         log.info(
@@ -123,9 +123,9 @@
     ) -> None:
         if self.session.gone and (response.is_ok() or isinstance(response.error, AnswerLost)):
             if self.session.restarted:
-                # The next life may have taken it, and settles it.
+                # The next incarnation may have accepted the start, and resolves it.
                 return
-            # The worker's end was known before this response, so the start was not counted then.
+            # The worker ended before this response, so the loss did not include this start yet.
             self.owner.pool.note_lost_run(
                 task, WorkerLoss(self.id, self.load.instance, sole_suspect=False)
             )
@@ -135,8 +135,8 @@
             case Result(tag="ok"):
                 self.confirm(task, sent_at)
             case Result(error=OtherLife()):
-                self.requeue_if_unchanged(task, run, "another life answers")
-                self.session.end("another life answers")
+                self.requeue_if_unchanged(task, run, "another incarnation responded")
+                self.session.end("another incarnation responded")
             case Result(error=Refused(reason=reason)) if reason == FENCED:
                 raise OwnershipLostError(f"worker {self.id} has seen a newer token")
             case Result(error=Refused(reason=reason)):
@@ -149,10 +149,10 @@
                 self.unresolved[task] = UnresolvedStart(run, monotonic())
 
     def _reason_to_withhold(self, task: Task, known: KnownState, now: float) -> str:
-        """Return what has come to speak against a start since it was decided; empty if nothing.
+        """Return why a start may no longer be ordered; empty if it may.
 
-        While it was recorded, its worker may have said that it leaves, and whoever tells so may
-        have fallen silent.
+        While the placement was recorded, its worker may have reported that it leaves, or the
+        source of such reports may have become unreachable.
         """
         if task.job.ended or self.session.gone or not self.owner.may_renew_leases(now):
             return "not ordered"
@@ -177,11 +177,11 @@
             task.group.tickets.pop(self.id, None)
 
     def may_arrive(self, task: Task) -> bool:
-        """Whether a start is on its way or its fate is unknown: it may still take its room."""
+        """Whether a start is under way or unresolved, so that it may still use its capacity."""
         return task in self.pending or task in self.unresolved
 
     def confirm(self, task: Task, started_at: float = 0.0) -> None:
-        """Take in that a start was taken."""
+        """Note that the worker accepted a start."""
         task.state = TaskState.RUNNING
         task.started_at = started_at
         task.progressed_at = task.first_seen_at = monotonic()
@@ -193,11 +193,11 @@
             self.owner.pool.retract_loss(task, start.ordered_to)
 
     async def resolve(self, running: dict[tuple[TaskName, int], Running], sent_at: float) -> None:
-        """Find out what became of starts that got no response.
+        """Determine whether starts without a response have begun.
 
-        A stop keeps a run that has not arrived from starting later. The run may have ended
-        before the stop, so only an account asked for after the stop was answered tells that it
-        never began; then the task may start elsewhere.
+        A stop revokes a run, so that a start that arrives later is refused. The run may have ended
+        before the stop, so only a status requested after the stop was confirmed shows that it never
+        began. Then the task is requeued.
         """
         for task, start in list(self.unresolved.items()):
             if task.run != start.run or task.worker != self.id or (task.name, start.run) in running:
@@ -210,15 +210,15 @@
                 self.requeue_if_unchanged(task, start.run, "start did not arrive")
 
     def _note_lost_start(self, task: Task, start: UnresolvedStart) -> None:
-        """Count the loss of the earlier life with a start that was meant for it."""
-        life = start.ordered_to
-        if life is not None and all(loss.worker != life for loss in task.losses):
+        """Count the loss of the earlier incarnation to which a start was ordered."""
+        earlier = start.ordered_to
+        if earlier is not None and all(loss.worker != earlier for loss in task.losses):
             self.owner.pool.note_lost_run(
-                task, WorkerLoss(life, self.load.instance, sole_suspect=False)
+                task, WorkerLoss(earlier, self.load.instance, sole_suspect=False)
             )
 
     async def _revoke(self, task: Task, start: UnresolvedStart) -> None:
-        """Keep a run that may not have arrived yet from starting."""
+        """Revoke a run, so that the worker refuses its start if it arrives later."""
         stopped = await self.owner.orders.stop(
             self.load.worker, self.owner.token, task.name, start.run
         )
@@ -227,7 +227,7 @@
             self.owner.note_revoked(self.id, (task.name, start.run))
 
     def requeue_if_unchanged(self, task: Task, run: int, reason: str) -> None:
-        """Let a task wait again unless it has gone on since."""
+        """Requeue a task unless it has ended or was assigned again since."""
         if task.run != run or task.worker != self.id or task.state is TaskState.DONE:
             return
         log.info(
--- a/tests/test_account_report.py
+++ b/tests/test_account_report.py
@@ -1,4 +1,4 @@
-"""Tests of what operators are told of accounts."""
+"""Tests of the metrics and descriptions of accounts for operators."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AccountReportTest(unittest.TestCase):
-    """What operators are told."""
+    """Metrics and descriptions of accounts."""
 
     def make(self, count: int) -> PoolState:
         pool = make_pool(make_worker("w-1", cpu=1_000_000))
@@ -43,13 +43,13 @@
         self.assertEqual(MAX_NAMED_ACCOUNTS + 1, len(told))
         self.assertEqual({"tasks": 14, "cpu_millis": 14_000}, told["(others)"])
 
-    def test_series_are_bounded_and_old_ones_go(self) -> None:
+    def test_series_are_bounded_and_old_ones_removed(self) -> None:
         for _ in range(2):
             METRICS.forget_accounts()
             count_accounts(self.make(MAX_NAMED_ACCOUNTS + 7))
         self.assertEqual(MAX_NAMED_ACCOUNTS + 1, len(METRICS.account_cpu.values))
 
-    def test_operator_is_told_that_a_limit_holds_a_job(self) -> None:
+    def test_describes_a_job_blocked_by_a_limit(self) -> None:
         pool = self.make(1)
         job = next(iter(pool.jobs.values()))
         elsewhere = PartReport(account=job.account, held=400_000)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -26,10 +26,10 @@
     LOSS_LIMIT,
     MAX_QUARANTINE_WAIT_S,
     PROVEN_AFTER_S,
-    SETTLED_AFTER_S,
     SOLE_CAUSE_LIMIT,
+    STABLE_AFTER_S,
     is_quarantined,
-    note_running,
+    note_run_time,
 )
 from pumicespur.jobs._job import RunStability, Task, TaskState, WorkerLoss, make_job
 from pumicespur.jobs._worker_load import WorkerLoad
@@ -161,7 +161,7 @@
             if '"run lost"' in line and CRASHING_TASK in line
         ]
         self.assertTrue(lines)
-        for field in ("worker", "instance", "ran_s", "beside"):
+        for field in ("worker", "instance", "ran_s", "others_lost"):
             self.assertIn(f'"{field}"', lines[0])
 
 
@@ -177,7 +177,7 @@
 def prove(*tasks: Task, ran_s: float = PROVEN_AFTER_S) -> None:
     """Let runs go on, by default for longer than a program takes to start."""
     for task in tasks:
-        note_running(WorkerLoad(make_worker("any")), task, ran_s)
+        note_run_time(WorkerLoad(make_worker("any")), task, ran_s)
 
 
 class BlameTest(unittest.TestCase):
@@ -211,7 +211,7 @@
 
     def test_a_run_that_has_gone_on_for_long_is_not_the_cause(self) -> None:
         prove(self.new, self.newer)
-        prove(self.old, ran_s=SETTLED_AFTER_S)
+        prove(self.old, ran_s=STABLE_AFTER_S)
         lose(self.pool, self.worker)
         self.assertEqual([0, 1, 1], self.losses())
 
@@ -327,7 +327,7 @@
 
     def test_one_that_runs_for_long_is_cleared(self) -> None:
         task, *_ = run_all(self.pool)
-        prove(task, ran_s=SETTLED_AFTER_S)
+        prove(task, ran_s=STABLE_AFTER_S)
         self.assertEqual([], task.losses)
 
     def test_a_worker_is_kept_until_its_new_tasks_have_shown_that_they_run(self) -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -88,7 +88,7 @@
 
 
 def make_pool(*workers: Worker) -> PoolState:
-    """Make a pool whose workers all answer."""
+    """Make a pool of reachable workers."""
     pool = PoolState(POOL)
     for worker in workers:
         pool.add_worker(worker).reachable = True
@@ -96,33 +96,33 @@
 
 
 def submit(pool: PoolState, record: JobRecord) -> Job:
-    """Take a job in."""
+    """Add a job to a pool."""
     job = pool.add_job(record, CONFIGURATION, None)
     assert job is not None
     return job
 
 
 def run_all(pool: PoolState, now: float = 0.0) -> list[Task]:
-    """Place what can be placed and let it run."""
+    """Place all tasks that can be placed, and mark them as running."""
     placed = pool.place(now, 0.0)
     for task in placed:
         task.state = TaskState.RUNNING
     return placed
 
 
-def end(task: Task, how: RunEnd, number: int = 1, checkpoint: str = "") -> TaskEnd:
+def make_end(task: Task, how: RunEnd, number: int = 1, checkpoint: str = "") -> TaskEnd:
     """Make the end of a task's newest run."""
     return TaskEnd(number, task.name, task.run, how, checkpoint)
 
 
 def finish(pool: PoolState, task: Task, how: RunEnd = RunEnd.DONE, checkpoint: str = "") -> None:
-    """Let a task's newest run end."""
+    """End a task's newest run."""
     assert task.worker is not None
-    pool.note_end(task.worker, end(task, how, checkpoint=checkpoint), 0.0)
+    pool.note_end(task.worker, make_end(task, how, checkpoint=checkpoint), 0.0)
 
 
 class JobTest(unittest.TestCase):
-    """A job's steps and its record."""
+    """Dependencies between steps, and a job's progress record."""
 
     def test_step_waits_for_the_steps_it_depends_on(self) -> None:
         pool = make_pool(make_worker("w-1"))
@@ -150,8 +150,8 @@
             StepRecord(count=1, estimated_ms=50),
             StepRecord(count=1, estimated_ms=30, depends_on=[0, 1]),
         ]
-        chains = compute_critical_paths_ms(make_record(*steps), DurationEstimates())
-        self.assertEqual(130, round(max(chains)))
+        paths = compute_critical_paths_ms(make_record(*steps), DurationEstimates())
+        self.assertEqual(130, round(max(paths)))
 
     @given(st.sets(st.integers(0, 11)), st.dictionaries(st.integers(0, 11), st.integers(1, 5)))
     def test_progress_survives_being_written_and_read(
@@ -175,7 +175,7 @@
 
 
 class EndTest(unittest.TestCase):
-    """What the end of a run does."""
+    """Effects of the end of a run."""
 
     def setUp(self) -> None:
         self.pool = make_pool(make_worker("w-1"), make_worker("w-2"))
@@ -193,16 +193,16 @@
         finish(self.pool, self.task, RunEnd.FAILED)
         self.assertIs(JobPhase.FAILED, self.job.phase)
 
-    def test_lapsed_run_costs_no_attempt(self) -> None:
+    def test_expired_run_costs_no_attempt(self) -> None:
         for _ in range(5):
             finish(self.pool, self.task, RunEnd.LAPSED)
             run_all(self.pool)
         self.assertIs(JobPhase.RUNNING, self.job.phase)
 
-    def test_end_of_an_older_run_changes_nothing_unless_it_is_well(self) -> None:
+    def test_end_of_an_older_run_changes_nothing_unless_it_is_done(self) -> None:
         worker = self.task.worker
         assert worker is not None
-        old = end(self.task, RunEnd.FAILED)
+        old = make_end(self.task, RunEnd.FAILED)
         finish(self.pool, self.task, RunEnd.LAPSED)
         run_all(self.pool)
         self.pool.note_end(worker, old, 0.0)
@@ -211,7 +211,8 @@
         self.assertIs(JobPhase.COMPLETED, self.job.phase)
 
     def test_newer_run_elsewhere_stays_counted_until_its_worker_drops_it(self) -> None:
-        # A step's spread was passed while a run of a task that had ended was still being stopped.
+        # A step exceeded its maximum per worker while an obsolete run of a completed task was still
+        # being stopped.
         first = self.task.worker
         assert first is not None
         self.pool.loads[first].remove(self.task)
@@ -223,13 +224,13 @@
         self.assertIs(TaskState.DONE, self.task.state)
         self.assertIn(self.task, other.tasks)
 
-    def test_room_is_free_again(self) -> None:
+    def test_capacity_is_free_after_the_end(self) -> None:
         finish(self.pool, self.task)
         self.assertEqual([0, 0], [load.cpu_millis for load in self.pool.loads.values()])
 
 
 class GangTest(unittest.TestCase):
-    """Tasks that work only together."""
+    """Gangs, whose members run only together."""
 
     def test_placed_whole_or_not_at_all(self) -> None:
         pool = make_pool(make_worker("w-1", cpu=1000))
@@ -251,30 +252,32 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """Which worker gets which task, against a naive first fit."""
+    """Placement of tasks, compared with naive first fit."""
 
     @given(
         st.lists(st.integers(100, 3000), min_size=1, max_size=12),
         st.lists(st.integers(1000, 6000), min_size=1, max_size=5),
     )
-    def test_never_past_the_room_and_never_less_than_first_fit(
-        self, tasks: list[int], rooms: list[int]
+    def test_never_exceeds_capacity_and_places_as_many_as_first_fit(
+        self, tasks: list[int], capacities: list[int]
     ) -> None:
-        workers = [make_worker(f"w-{n}", cpu=room) for n, room in enumerate(rooms)]
+        workers = [make_worker(f"w-{n}", cpu=capacity) for n, capacity in enumerate(capacities)]
         pool = make_pool(*workers)
         cpu = max(tasks)
         submit(pool, make_record(StepRecord(count=len(tasks), cpu_millis=cpu)))
         placed = pool.place(0.0, 0.0)
         for load in pool.loads.values():
             self.assertLessEqual(load.cpu_millis, load.worker.capacity.cpu_millis)
-        naive = min(len(tasks), sum(room // cpu for room in rooms))
+        naive = min(len(tasks), sum(capacity // cpu for capacity in capacities))
         self.assertEqual(naive, len(placed))
 
     @given(st.integers(1, 3), st.integers(1, 9))
-    def test_spread_is_kept(self, most: int, count: int) -> None:
+    def test_max_per_worker_is_respected(self, max_per_worker: int, count: int) -> None:
         pool = make_pool(make_worker("w-1"), make_worker("w-2"))
-        submit(pool, make_record(StepRecord(count=count, cpu_millis=1, max_per_worker=most)))
-        self.assertEqual(min(count, 2 * most), len(pool.place(0.0, 0.0)))
+        submit(
+            pool, make_record(StepRecord(count=count, cpu_millis=1, max_per_worker=max_per_worker))
+        )
+        self.assertEqual(min(count, 2 * max_per_worker), len(pool.place(0.0, 0.0)))
 
     def test_same_rack(self) -> None:
         workers = [make_worker(f"w-{n}", f"r1-{n % 2}", 1000) for n in range(4)]
@@ -284,22 +287,22 @@
         racks = {pool.loads[task.worker].worker.rack for task in placed if task.worker}
         self.assertEqual((2, 1), (len(placed), len(racks)))
 
-    def test_near_the_data_while_there_is_room(self) -> None:
+    def test_prefers_the_data_rack_while_it_has_free_capacity(self) -> None:
         pool = make_pool(make_worker("w-1", "r1-1"), make_worker("w-2", "r1-2", 1000))
         submit(pool, make_record(StepRecord(count=2, cpu_millis=1000, data_rack="r1-2")))
         placed = pool.place(0.0, 0.0)
         self.assertEqual(["w-2", "w-1"], [task.worker for task in placed])
 
     def test_short_tasks_leave_whole_workers_idle(self) -> None:
-        # Spread evenly, the last tasks of a peak kept all of its workers from the next pool: half
-        # of the jobs of that pool's first four seconds were late, a quarter since (one day each).
+        # Spread evenly, the last tasks of a load peak kept all of its workers from the next pool,
+        # where half of the jobs of the first four seconds were overdue.
         workers = [make_worker(f"w-{n}", cpu=4000) for n in range(4)]
         pool = make_pool(*workers)
         submit(pool, make_record(StepRecord(count=6, cpu_millis=1000)))
         used = {task.worker for task in pool.place(0.0, 0.0)}
         self.assertEqual(2, len(used))
 
-    def test_filling_tasks_are_spread(self) -> None:
+    def test_best_effort_tasks_are_spread(self) -> None:
         pool = make_pool(make_worker("w-1"), make_worker("w-2"))
         submit(pool, make_record(StepRecord(count=2, memory_mb=1, fills=True)))
         used = {task.worker for task in pool.place(0.0, 0.0)}
@@ -310,7 +313,7 @@
         submit(pool, make_record(StepRecord(count=1, cpu_millis=1, required_label="b")))
         self.assertEqual([], pool.place(0.0, 0.0))
 
-    def test_filling_tasks_take_no_room(self) -> None:
+    def test_best_effort_tasks_reserve_no_processor_time(self) -> None:
         pool = make_pool(make_worker("w-1", cpu=1000))
         submit(pool, make_record(StepRecord(count=3, cpu_millis=1000, fills=True)))
         self.assertEqual(3, len(pool.place(0.0, 0.0)))
@@ -323,8 +326,8 @@
         order = [group.job for group in order_groups(pool.jobs.values(), 0.0)]
         self.assertEqual([early, late], order)
 
-    def test_what_is_late_anyway_waits_for_what_can_be_in_time(self) -> None:
-        # In a peak nearly every job was a little late.
+    def test_overdue_work_waits_for_work_that_can_finish_in_time(self) -> None:
+        # Without this order, a load peak made nearly every job a little overdue.
         pool = make_pool(make_worker("w"))
         step = StepRecord(count=1, cpu_millis=100, estimated_ms=1000)
         late = submit(pool, make_record(step, job="0" * 16))
@@ -334,15 +337,15 @@
         groups = order_groups(pool.jobs.values(), 30_000)
         self.assertEqual([late, fresh], [group.job for group in groups])
 
-    def test_work_is_late_once_its_whole_rest_does_not_fit(self) -> None:
-        # In a peak that outgrew its pool, work was begun until half of its rest was too much.
+    def test_work_is_overdue_once_its_remaining_time_does_not_fit(self) -> None:
+        # An overloaded pool started work that could only finish in time if it took half as long.
         pool = make_pool(make_worker("w"))
         group = submit(pool, make_record(StepRecord(count=1, estimated_ms=1000))).groups[0]
         latest_ms = group.job.deadline_ms - group.job.critical_paths_ms[0]
         self.assertFalse(is_overdue(group, latest_ms))
         self.assertTrue(is_overdue(group, latest_ms + 1))
 
-    def test_worker_that_fails_everything_is_left_out_for_a_while(self) -> None:
+    def test_worker_with_consecutive_failures_is_ejected_for_a_while(self) -> None:
         load = WorkerLoad(make_worker("w-1"), reachable=True)
         for _ in range(MIN_EJECT_FAILURES):
             load.note_result(False, 0.0)
@@ -360,7 +363,7 @@
 
 
 class AvailabilityTest(unittest.TestCase):
-    """How many long-running tasks are moved at once."""
+    """Availability limit for moving long-running tasks."""
 
     def setUp(self) -> None:
         self.pool = make_pool(*(make_worker(f"w-{n}") for n in range(4)))
@@ -373,32 +376,32 @@
     def test_one_at_a_time(self) -> None:
         self.assertEqual(1, len(tasks_to_move(self.pool, 10.0)))
 
-    def test_none_while_another_is_not_at_work(self) -> None:
+    def test_none_while_another_is_unavailable(self) -> None:
         self.job.tasks[0].unavailable_since = 9.0
         chosen = tasks_to_move(self.pool, 10.0)
         self.assertEqual([self.job.tasks[0]], chosen)
 
     def test_none_while_another_worker_is_silent(self) -> None:
-        # A budget was broken when a rack had gone dark a moment before.
+        # A task was moved although a rack had just failed, which exceeded the availability budget.
         silent = self.job.tasks[0].worker
         assert silent is not None
         self.pool.loads[silent].reachable = False
         self.assertEqual([], tasks_to_move(self.pool, 10.0))
 
-    def test_none_without_a_place_to_go(self) -> None:
+    def test_none_without_free_capacity_elsewhere(self) -> None:
         spare = next(load for load in self.pool.loads.values() if not load.tasks)
         spare.reachable = False
         self.assertEqual([], tasks_to_move(self.pool, 10.0))
 
 
 class EstimatesTest(unittest.TestCase):
-    """What is to be expected of a task."""
+    """Expected durations of tasks."""
 
-    def test_declared_times_hold_at_first(self) -> None:
+    def test_declared_durations_are_used_at_first(self) -> None:
         self.assertAlmostEqual(700, DurationEstimates().corrected_ms(ROUTE.name, 700))
 
     @given(st.floats(0.2, 5.0), st.floats(20, 20_000))
-    def test_constant_factor_is_learnt(self, factor: float, declared_ms: float) -> None:
+    def test_constant_factor_is_learned(self, factor: float, declared_ms: float) -> None:
         route = RouteEstimator()
         for number in range(int(PRIOR_WEIGHT) * 40):
             declared = 100.0 * (1 + number % 7)
@@ -406,7 +409,7 @@
         corrected = route.corrected_ms(declared_ms)
         self.assertLess(abs(math.log(corrected / (declared_ms * factor))), 0.15)
 
-    def test_worthless_declarations_give_way_to_what_was_seen(self) -> None:
+    def test_useless_declarations_give_way_to_actual_durations(self) -> None:
         source = random.Random(1)
         route = RouteEstimator()
         for _ in range(400):
@@ -416,7 +419,7 @@
 
 
 class StallTest(unittest.TestCase):
-    """Tasks that stand still."""
+    """Detection of stalled tasks."""
 
     def test_a_short_task_without_progress_is_stalled(self) -> None:
         pool = make_pool(make_worker("w-1"))
@@ -428,7 +431,7 @@
         task.spec.estimated_ms = 60_000
         self.assertFalse(is_stalled(task, 12.5))
 
-    def test_a_lasting_task_is_not(self) -> None:
+    def test_a_long_running_task_is_not_stalled(self) -> None:
         pool = make_pool(make_worker("w-1"))
         submit(pool, make_record(StepRecord(count=1, cpu_millis=1, long_running=True)))
         (task,) = run_all(pool)
@@ -436,7 +439,7 @@
 
 
 class AdviceTest(unittest.TestCase):
-    """Steps that need permission for each worker."""
+    """Steps that need an admission ticket for each worker."""
 
     def test_only_workers_with_a_ticket_are_used_while_it_holds(self) -> None:
         pool = make_pool(make_worker("w-1"), make_worker("w-2"))
@@ -449,40 +452,40 @@
         self.assertEqual([("w-2", "t")] * 2, [(task.worker, task.ticket) for task in placed])
 
 
-class PaceTest(unittest.TestCase):
-    """Filling tasks give way to tasks that serve users."""
+class ThrottleTest(unittest.TestCase):
+    """Best-effort tasks are throttled in favour of tasks that serve users."""
 
     def setUp(self) -> None:
         self.pool = make_pool(make_worker("w-1"))
         serving = StepRecord(count=1, cpu_millis=1, long_running=True, latency_objective_ms=100)
-        filling = StepRecord(count=1, cpu_millis=1, fills=True)
-        submit(self.pool, make_record(serving, filling))
+        best_effort = StepRecord(count=1, cpu_millis=1, fills=True)
+        submit(self.pool, make_record(serving, best_effort))
         run_all(self.pool)
         (load,) = self.pool.loads.values()
         self.serving = next(task for task in load.tasks if not task.spec.fills)
-        self.filling = next(task for task in load.tasks if task.spec.fills)
+        self.best_effort = next(task for task in load.tasks if task.spec.fills)
 
-    def paces(self, now: float) -> list[int]:
+    def speed_changes(self, now: float) -> list[int]:
         changes = choose_speed_changes(self.pool.loads.values(), now)
         for task, percent in changes:
             task.speed_percent = percent
         return [percent for _, percent in changes]
 
-    def test_slowed_then_stopped_then_let_loose(self) -> None:
+    def test_throttled_then_stopped_then_sped_up(self) -> None:
         self.serving.measurement = 95
-        self.assertEqual([[30], [0], []], [self.paces(now) for now in (1.0, 2.0, 3.0)])
+        self.assertEqual([[30], [0], []], [self.speed_changes(now) for now in (1.0, 2.0, 3.0)])
         self.serving.measurement = 70
-        self.assertEqual([], self.paces(4.0))
+        self.assertEqual([], self.speed_changes(4.0))
         self.serving.measurement = 20
-        self.assertEqual([[20], [40]], [self.paces(now) for now in (5.0, 6.0)])
+        self.assertEqual([[20], [40]], [self.speed_changes(now) for now in (5.0, 6.0)])
 
-    def test_changes_wait_for_new_figures(self) -> None:
+    def test_changes_wait_for_new_measurements(self) -> None:
         self.serving.measurement = 95
-        self.assertEqual([[30], []], [self.paces(now) for now in (1.0, 1.3)])
+        self.assertEqual([[30], []], [self.speed_changes(now) for now in (1.0, 1.3)])
 
 
 class LeavingTest(unittest.TestCase):
-    """Progress is kept when a worker leaves."""
+    """Progress survives the shutdown of a worker."""
 
     def test_task_with_checkpoints_is_stopped_just_before(self) -> None:
         pool = make_pool(make_worker("w-1"))
@@ -496,7 +499,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """How long a worker may go on without its owner."""
+    """Expiry of the lease up to which a worker runs without its owner."""
 
     def test_slow_clock_is_allowed_for(self) -> None:
         lease = WorkerLease(drift=0.02, earlier=EarlierLeases(0.0))
@@ -504,16 +507,16 @@
         self.assertEqual(2000, lease.grant(10.0, 1.0))
         self.assertAlmostEqual(10.0 + 1.0 / 0.98, lease.expires_at())
 
-    def test_unheard_worker_is_waited_out_for_earlier_owners(self) -> None:
+    def test_leases_of_earlier_owners_count_until_the_first_response(self) -> None:
         self.assertEqual(7.0, WorkerLease(drift=0.02, earlier=EarlierLeases(7.0)).expires_at())
 
 
 class IntakeTest(unittest.IsolatedAsyncioTestCase):
-    """How submissions are followed."""
+    """Following of submissions."""
 
-    async def test_forgotten_request_costs_half_a_second_at_most(self) -> None:
-        # An owner heard of no job for 3.3 s, and another one for 1.2 s at its pool's onset, after
-        # the store had dropped its history. The store answered everybody else within 10 ms.
+    async def test_request_dropped_by_the_store_costs_half_a_second_at_most(self) -> None:
+        # After the store had dropped its history, one owner received no job for 3.3 s, and another
+        # one none for 1.2 s at the start of a load peak. Other requests took the store 10 ms.
         asked: list[float] = []
         parts: list[str] = []
 
@@ -552,12 +555,12 @@
         self.assertEqual(7, follower.reading.version)
 
 
-class PoolSizeTest(unittest.TestCase):
-    """What a pool asks the fleet's holder for."""
+class PoolSizerTest(unittest.TestCase):
+    """Number of workers that a pool requests from the fleet leader."""
 
-    def test_past_peak_asks_for_nothing_more(self) -> None:
-        # Workers of a peak that was over were asked for three more seconds, while the next
-        # pool's jobs waited for them.
+    def test_no_more_workers_are_requested_after_the_peak(self) -> None:
+        # A pool requested the workers of a load peak for three seconds after its end, while the
+        # jobs of the next pool waited for them.
         pool = make_pool(make_worker("w-1"))
         size = PoolSizer(pool, lambda: None)
         step = StepRecord(count=2, cpu_millis=4000, estimated_ms=1000)
@@ -576,8 +579,8 @@
         self.assertEqual(MIN_WORKERS, report.wanted_workers)
 
 
-class LateWorkTest(unittest.TestCase):
-    """Work that can't be in time any more, in what a pool asks for."""
+class OverdueWorkTest(unittest.TestCase):
+    """Effect of work that can no longer finish in time on the requested workers."""
 
     def setUp(self) -> None:
         self.pool = make_pool(make_worker("w-1"))
@@ -592,14 +595,15 @@
             self.size.fill_report(report)
         return report
 
-    def test_is_told_apart(self) -> None:
+    def test_is_separate_from_other_waiting_work(self) -> None:
         self.assertEqual(160_000, current_demand(self.pool, 0.0).waiting.cpu_millis)
         demand = current_demand(self.pool, 60_000.0)
         self.assertEqual(0, demand.waiting.cpu_millis)
         self.assertEqual(160_000, demand.overdue.cpu_millis)
 
-    def test_takes_no_instance_and_keeps_what_nobody_asks_for(self) -> None:
-        # A pool kept 116 of 180 instances for late work while the next one's peak began on 24.
+    def test_keeps_instances_but_takes_none(self) -> None:
+        # A pool kept 116 of 180 instances for overdue work while the next one started its load
+        # peak on 24.
         early = self.report(0)
         self.assertGreater(early.busy_workers, 20)
         late = self.report(60_000)
@@ -608,15 +612,15 @@
 
 
 class DemandTest(unittest.TestCase):
-    """What a pool is foreseen to need."""
+    """Forecast of demand."""
 
-    def test_steady_demand_is_itself(self) -> None:
+    def test_steady_demand_is_forecast_unchanged(self) -> None:
         tracker = DemandTracker()
         for step in range(20):
             tracker.note(step * 0.25, Demand(1000, 10))
         self.assertEqual(Demand(1000, 10), tracker.forecast())
 
-    def test_growth_is_foreseen(self) -> None:
+    def test_growth_is_forecast(self) -> None:
         tracker = DemandTracker()
         for step in range(20):
             tracker.note(step * 0.25, Demand(step * 100, 0))
@@ -624,7 +628,7 @@
 
 
 class SweepTest(unittest.IsolatedAsyncioTestCase):
-    """How the submissions of ended jobs go."""
+    """Removal of the submissions of ended jobs."""
 
     def setUp(self) -> None:
         self.calls: list[Transaction] = []
@@ -638,7 +642,7 @@
         return self.answers
 
     async def test_jobs_of_one_part_share_a_call(self) -> None:
-        # Each ended job cost a call, in the part that callers waited for.
+        # Otherwise each ended job costs a call, and callers' submissions wait behind these calls.
         for number in range(1000):
             self.cleanup.compact(JobId(f"job-{number}"), ROUTE.name, ANYONE)
         await self.cleanup.clean_up()
@@ -647,7 +651,7 @@
         self.assertEqual(1, len(parts))
         self.assertFalse(self.cleanup.pending)
 
-    async def test_what_is_not_confirmed_is_written_again(self) -> None:
+    async def test_unconfirmed_writes_are_repeated(self) -> None:
         self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
         self.answers = Error(Unavailable("busy"))
         await self.cleanup.clean_up()
@@ -656,21 +660,21 @@
         await self.cleanup.clean_up()
         self.assertFalse(self.cleanup.pending)
 
-    async def test_removal_follows_an_emptying_that_is_pending(self) -> None:
+    async def test_removal_replaces_a_pending_emptying(self) -> None:
         self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
         self.cleanup.remove(JobId("job"))
         await self.cleanup.clean_up()
         self.assertEqual([None], [write.value for write in self.calls[0].writes])
 
-    async def test_removal_that_is_pending_stays(self) -> None:
-        # An owner that reads all submissions anew finds those that are to be removed again.
+    async def test_pending_removal_is_not_replaced(self) -> None:
+        # An owner that reads all submissions again finds those whose removal is pending.
         self.cleanup.remove(JobId("job"))
         self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
         await self.cleanup.clean_up()
         self.assertEqual(["job"], self.cleanup.take_removed())
 
-    async def test_progress_goes_only_after_the_submission(self) -> None:
-        # A job whose submission outlived its progress would run again under a successor.
+    async def test_progress_is_removed_only_after_the_submission(self) -> None:
+        # A job whose submission outlives its progress record would run again under the next owner.
         self.cleanup.remove(JobId("job"))
         self.answers = Error(Unavailable("busy"))
         await self.cleanup.clean_up()
@@ -681,30 +685,30 @@
         self.assertEqual([], self.cleanup.take_removed())
 
 
-class ArrivalsTest(unittest.TestCase):
-    """What callers ask for, before any of it runs."""
+class ArrivalTrackerTest(unittest.TestCase):
+    """Submitted work, before any of it runs."""
 
     def setUp(self) -> None:
         self.arrivals = ArrivalTracker()
 
-    def arrive(self, at_ms: int, **fields: Any) -> None:
-        """Hand a job in that keeps two cores busy for a second."""
+    def submit_at(self, at_ms: int, **fields: Any) -> None:
+        """Submit a job that keeps two cores busy for a second."""
         step = StepRecord(count=2, cpu_millis=1000, estimated_ms=1000, **fields)
         record = JobRecord(id=f"job-{at_ms}", route="quick", accepted_ms=at_ms, steps=[step])
         self.arrivals.note(make_job(record, ROUTE, DurationEstimates()), DurationEstimates())
 
     def test_work_of_the_last_seconds_is_averaged(self) -> None:
         for at_ms in range(0, 1500, 100):
-            self.arrive(at_ms)
+            self.submit_at(at_ms)
         self.assertEqual(20_000, self.arrivals.cpu_millis(1500))
         self.assertEqual(0, self.arrivals.cpu_millis(5000))
 
-    def test_lasting_work_comes_in_no_peaks(self) -> None:
-        self.arrive(0, long_running=True)
+    def test_long_running_work_is_not_counted(self) -> None:
+        self.submit_at(0, long_running=True)
         self.assertEqual(0, self.arrivals.cpu_millis(100))
 
-    def test_long_job_counts_by_what_it_keeps_busy(self) -> None:
-        # One job of 32 wide tasks looked like a peak of 77 workers, which came and idled.
+    def test_long_job_is_spread_over_its_critical_path(self) -> None:
+        # One job with 32 large tasks looked like a load peak: 77 workers were moved and stayed idle.
         steps = [
             StepRecord(count=32, cpu_millis=4000, estimated_ms=4000),
             StepRecord(count=32, cpu_millis=4000, estimated_ms=4000, depends_on=[0]),
@@ -715,23 +719,23 @@
         self.assertAlmostEqual(32 * 4000, self.arrivals.cpu_millis(7900), delta=2)
         self.assertEqual(0, self.arrivals.cpu_millis(8100))
 
-    def test_growth_of_many_jobs_is_foreseen(self) -> None:
-        # A pool's onset asked for 25 workers where 60 were needed once they had come.
+    def test_growth_by_many_jobs_is_forecast(self) -> None:
+        # At the start of a load peak a pool requested 25 workers, but needed 60 when they arrived.
         self.arrivals.measure(0)
         for at_ms in range(0, 1000, 100):
-            self.arrive(at_ms)
+            self.submit_at(at_ms)
         now = self.arrivals.measure(1000)
         self.assertAlmostEqual(now + 2.0 * 0.9 * now, self.arrivals.forecast(), delta=20)
 
-    def test_one_job_is_no_growth(self) -> None:
+    def test_single_job_is_not_growth(self) -> None:
         self.arrivals.measure(0)
-        self.arrive(0)
+        self.submit_at(0)
         now = self.arrivals.measure(1000)
         self.assertEqual(now, self.arrivals.forecast())
 
     def test_falling_once_less_than_half_arrives(self) -> None:
         for at_ms in range(0, 1500, 100):
-            self.arrive(at_ms)
+            self.submit_at(at_ms)
         self.arrivals.measure(1500)
         self.assertFalse(self.arrivals.is_falling())
         self.arrivals.measure(2600)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -221,7 +221,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         await self.world.wait_for(
-            lambda: '"worker answers"' in self.node.log.read_text(), "the worker is watched"
+            lambda: '"worker reachable"' in self.node.log.read_text(), "the worker is watched"
         )
 
     async def check_moved_on(self, job: str) -> None:
--- a/tests/test_limit_model.py
+++ b/tests/test_limit_model.py
@@ -1,11 +1,11 @@
-"""A model check of accounts' limits: the real decisions under every kind of disorder.
-
-Several pools, each with an owner that runs the real pool state and limits, share two accounts.
-Reports come late or never, commits are held up, owners are replaced or frozen, orders are carried
-out late, workers fall silent, limits rise and fall. Whatever the order, what runs of an account
-never exceeds the highest limit that any owner may judge by, and once all is calm an account that
-uses less than half of its limit starts its next task wherever it waits. The mutants take one
-guard out each; the check has to find them.
+"""Model check of account limits: the real decisions under random faults.
+
+Several pools share two accounts; the owner of each runs the real pool state and limits. Reports
+are late or lost, commits are delayed, owners are replaced or frozen, starts take effect late,
+workers stop answering, and limits change. In any order of events, the running tasks of an account
+must not exceed the highest limit that any owner may apply. Once the faults have stopped, an account
+that uses less than half of its limit must be able to start its next task in any pool. Each mutant
+removes one safeguard, and the check has to find it.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 TASK_CPU = (700, 1_000, 2_500, 5_000)
 PLANS = 200
 STEPS = 220
-CALM_ROUNDS = 60
+STABLE_ROUNDS = 60
 
 
 @dataclass(eq=False)
@@ -66,7 +66,7 @@
 
 @dataclass(eq=False)
 class ModelWorker:
-    """A worker: what it runs, the newest token it has seen, ends that nobody has noted."""
+    """A worker: its runs, the newest fencing token it has seen, and ends not yet reported."""
 
     worker: Worker
     token: int = 0
@@ -77,7 +77,7 @@
 
 @dataclass
 class Store:
-    """What is recorded of one pool."""
+    """Stored rows of one pool."""
 
     token: int = 0
     progress: dict[str, bytes] = field(default_factory=dict)
@@ -86,7 +86,7 @@
 
 
 class Owner:
-    """One owner of a pool, with the real decisions and a model of what surrounds them."""
+    """An owner of a pool, with the real decisions and a model of its environment."""
 
     def __init__(self, world: ModelWorld, pool: PoolId) -> None:
         self.world = world
@@ -96,7 +96,7 @@
         self.limit = world.limit
         self.state = PoolState(pool)
         self.state.limits.set_founders(POOLS)
-        self._judge()
+        self._apply_limit()
         records = [PartRecord.from_binary(row) for row in self.store.parts.values()]
         self.state.limits.restore(records)
         ended = set()
@@ -123,23 +123,23 @@
     def _add(self, record: JobRecord, progress: ProgressRecord | None) -> Job | None:
         return self.state.add_job(record, CONFIGURATION, progress)
 
-    def _judge(self) -> None:
+    def _apply_limit(self) -> None:
         limit = Capacity(self.limit, 0)
         self.state.limits.set_accounts({a: ClientAccount(a, 1.0, limit) for a in ACCOUNTS})
 
-    def hear_configuration(self) -> None:
-        """Have the newest configuration in force."""
+    def apply_configuration(self) -> None:
+        """Put the newest configuration in force."""
         self.limit = self.world.limit
-        self._judge()
+        self._apply_limit()
 
-    def round(self, now: float, held_up: bool) -> None:
-        """Place, record, then order; `held_up` breaks off before anything is recorded."""
+    def round(self, now: float, delayed: bool) -> None:
+        """Place, record, then start tasks; `delayed` stops before anything is recorded."""
         for name, row in self.store.submissions.items():
             if JobId(name) not in self.state.jobs and name not in self.store.progress:
                 self._add(JobRecord.from_binary(row), None)
-        self.state.limits.apply_reports(self.world.heard(self), now)
+        self.state.limits.apply_reports(self.world.peer_allotments(self), now)
         self.state.place(now, 0.0)
-        if held_up or self.token != self.store.token:
+        if delayed or self.token != self.store.token:
             return
         parts = self.state.limits.take_changed(100)
         for part in parts:
@@ -158,16 +158,16 @@
             if task.state is TaskState.PLACED and task.worker and not task.job.ended:
                 task.state = TaskState.STARTING
                 run = Run(task.name, task.run, task.job.account, task.spec.cpu_millis)
-                self.world.order(self, task.worker, run)
+                self.world.send_start(self, task.worker, run)
 
     def _stop(self, job: Job) -> None:
         names = {task.name for task in job.tasks}
         for worker in self.world.workers[self.state.pool]:
-            if not worker.silent and self.world.chance.random() < 0.7:
+            if not worker.silent and self.world.rng.random() < 0.7:
                 worker.runs = [run for run in worker.runs if run.task not in names]
 
-    def look(self, worker: ModelWorker) -> None:
-        """Hear a worker's account, as it is at this moment."""
+    def poll(self, worker: ModelWorker) -> None:
+        """Apply a worker's current status."""
         if worker.silent or self.token < worker.token:
             return
         worker.token = self.token
@@ -178,19 +178,19 @@
             self.state.note_end(worker.worker.id, end, 0.0)
         running = {(run.task, run.number) for run in worker.runs}
         self.state.resolve_inherited(worker.worker.id, running)
-        late = {(run.task, run.number) for _, _, run in self.world.late}
+        pending = {(run.task, run.number) for _, _, run in self.world.delayed_starts}
         for task in list(load.tasks):
             key = (task.name, task.run)
             if key in running:
                 task.state = TaskState.RUNNING
-            elif key not in late and (task.state is not TaskState.PLACED or task.job.ended):
-                self._settle(load, task.job, key)
+            elif key not in pending and (task.state is not TaskState.PLACED or task.job.ended):
+                self._resolve(load, task.job, key)
         for run in list(worker.runs):
             wanted = self.state.find_task(run.task)
             if wanted is None or not wanted.is_current_run(worker.worker.id, run.number):
                 worker.runs.remove(run)
 
-    def _settle(self, load: WorkerLoad, job: Job, key: tuple[TaskName, int]) -> None:
+    def _resolve(self, load: WorkerLoad, job: Job, key: tuple[TaskName, int]) -> None:
         task = job.by_name[key[0]]
         if job.ended or task.worker != load.worker.id:
             load.remove(task)
@@ -201,8 +201,8 @@
 class ModelWorld:
     """Pools, owners, workers and the messages between them."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.now = 0.0
         self.limit = LIMITS[1]
         self.stores = {pool: Store() for pool in POOLS}
@@ -210,51 +210,51 @@
             pool: [ModelWorker(make_worker(f"{pool}-{n}", cpu=20_000)) for n in range(2)]
             for pool in POOLS
         }
-        self.late: list[tuple[int, ModelWorker, Run]] = []
-        """Orders under a token that a worker may still carry out."""
-        self.told: dict[PoolId, list[PartReport]] = {pool: [] for pool in POOLS}
-        self.heard_from: dict[tuple[PoolId, PoolId], list[PartReport]] = {}
+        self.delayed_starts: list[tuple[int, ModelWorker, Run]] = []
+        """Starts under a fencing token that a worker may still execute."""
+        self.written_reports: dict[PoolId, list[PartReport]] = {pool: [] for pool in POOLS}
+        self.delivered_reports: dict[tuple[PoolId, PoolId], list[PartReport]] = {}
         self.owners = {pool: Owner(self, pool) for pool in POOLS}
         self.frozen: list[Owner] = []
         self.jobs = 0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
-    def heard(self, owner: Owner) -> dict[AccountId, list[PeerAllotment]]:
-        """Return what an owner has heard of the others' parts."""
+    def peer_allotments(self, owner: Owner) -> dict[AccountId, list[PeerAllotment]]:
+        """Return the allotments of other pools from the reports delivered to an owner."""
         found: dict[AccountId, list[PeerAllotment]] = {}
         for pool in POOLS:
-            for report in self.heard_from.get((owner.state.pool, pool), []):
+            for report in self.delivered_reports.get((owner.state.pool, pool), []):
                 found.setdefault(AccountId(report.account), []).append(PeerAllotment(pool, report))
         return found
 
-    def tell(self, owner: Owner) -> None:
-        """Let an owner write its report; a frozen one's may come too."""
+    def write_report(self, owner: Owner) -> None:
+        """Write an owner's report; frozen owners may write theirs too."""
         reports = owner.state.limits.reports()
-        self.told[owner.state.pool] = [
+        self.written_reports[owner.state.pool] = [
             PartReport.from_binary(report.to_binary()) for report in reports
         ]
 
     def deliver(self, to: PoolId, since: PoolId) -> None:
-        """Let a pool's owner hear another's newest report."""
+        """Deliver a pool's newest report to the owner of another one."""
         if to != since:
-            self.heard_from[to, since] = self.told[since]
+            self.delivered_reports[to, since] = self.written_reports[since]
 
-    def order(self, owner: Owner, worker: WorkerId, run: Run) -> None:
-        """Send an order to start: carried out now, later, or refused."""
+    def send_start(self, owner: Owner, worker: WorkerId, run: Run) -> None:
+        """Send a start, which is executed now or later, or refused."""
         target = next(w for w in self.workers[owner.state.pool] if w.worker.id == worker)
-        fates = ("now",) if self.calm else ("now", "now", "late", "refused")
-        match self.chance.choice(fates):
+        fates = ("now",) if self.stable else ("now", "now", "late", "refused")
+        match self.rng.choice(fates):
             case "now" if not target.silent:
-                self.carry_out(owner.token, target, run)
+                self.execute_start(owner.token, target, run)
             case "refused" if not target.silent:
                 task = owner.state.find_task(run.task)
                 if task is not None and task.run == run.number:
                     owner.state.requeue(task)
             case _:
-                self.late.append((owner.token, target, run))
+                self.delayed_starts.append((owner.token, target, run))
 
-    def carry_out(self, token: int, worker: ModelWorker, run: Run) -> None:
-        """Start a run unless the worker has seen a newer token, and judge the start."""
+    def execute_start(self, token: int, worker: ModelWorker, run: Run) -> None:
+        """Start a run unless the worker has seen a newer token, and check the account's limit."""
         if token < worker.token:
             return
         worker.token = token
@@ -268,123 +268,125 @@
         )
         highest = max(o.limit for o in [*self.owners.values(), *self.frozen])
         if total > self.highest(highest):
-            self.broken.append(f"{run.account} runs {total} of {highest}")
+            self.violations.append(f"{run.account} runs {total} of {highest}")
 
     def highest(self, in_force: int) -> int:
-        """Return what may run: what a limit in force allows, or what ran before it fell."""
+        """Return the highest usage allowed by the limits in force or by recent ones."""
         return max(in_force, self.limit, self.recent)
 
-    calm = False
+    stable = False
     recent = 0
-    """The highest limit since all that ran under it has ended."""
+    """Highest limit under which tasks may still run."""
 
     def end_run(self, worker: ModelWorker) -> None:
-        """Let a run end."""
+        """End a random run."""
         if worker.runs:
-            run = worker.runs.pop(self.chance.randrange(len(worker.runs)))
-            how = self.chance.choice((RunEnd.DONE, RunEnd.FAILED, RunEnd.LAPSED))
+            run = worker.runs.pop(self.rng.randrange(len(worker.runs)))
+            how = self.rng.choice((RunEnd.DONE, RunEnd.FAILED, RunEnd.LAPSED))
             worker.ended.append(TaskEnd(1, run.task, run.number, how, ""))
 
     def submit(self, pool: PoolId, count: int, cpu: int) -> None:
-        """Let an account hand a job in."""
+        """Submit a job of a random account."""
         self.jobs += 1
-        account = self.chance.choice(ACCOUNTS)
+        account = self.rng.choice(ACCOUNTS)
         step = StepRecord(count=count, cpu_millis=cpu)
         record = JobRecord(id=f"{self.jobs:016x}", route="quick", steps=[step], account=account)
         self.stores[pool].submissions[record.id] = record.to_binary()
 
     def step(self) -> None:
-        """Let one thing happen."""
-        pool = self.chance.choice(POOLS)
+        """Execute one random event."""
+        pool = self.rng.choice(POOLS)
         owner = self.owners[pool]
-        worker = self.chance.choice(self.workers[pool])
+        worker = self.rng.choice(self.workers[pool])
         self.now += 0.05
-        match self.chance.randrange(14):
+        match self.rng.randrange(14):
             case 0 | 1:
-                owner.round(self.now, held_up=False)
+                owner.round(self.now, delayed=False)
             case 2:
-                self.hold_up(owner)
+                self.delay_commit(owner)
             case 3 | 4:
-                self.tell(owner)
-                self.deliver(self.chance.choice(POOLS), pool)
+                self.write_report(owner)
+                self.deliver(self.rng.choice(POOLS), pool)
             case 5:
-                self.deliver(self.chance.choice(POOLS), pool)
+                self.deliver(self.rng.choice(POOLS), pool)
             case 6:
-                self.submit(pool, self.chance.randrange(1, 8), self.chance.choice(TASK_CPU))
+                self.submit(pool, self.rng.randrange(1, 8), self.rng.choice(TASK_CPU))
             case 7:
-                owner.look(worker)
+                owner.poll(worker)
             case 8 | 9:
                 self.end_run(worker)
-                owner.look(worker)
-            case 10 if self.late:
-                self.carry_out(*self.late.pop(self.chance.randrange(len(self.late))))
-            case 11 if self.chance.random() < 0.8:
+                owner.poll(worker)
+            case 10 if self.delayed_starts:
+                self.execute_start(
+                    *self.delayed_starts.pop(self.rng.randrange(len(self.delayed_starts)))
+                )
+            case 11 if self.rng.random() < 0.8:
                 self.replace(pool)
             case 12 if owner.state.jobs:
                 self.cancel(owner)
             case 13:
-                self.disturb(worker)
+                self.inject_fault(worker)
 
-    def hold_up(self, owner: Owner) -> None:
-        """Let a commit take long; reports are written meanwhile, and the owner may be replaced."""
-        owner.round(self.now, held_up=True)
-        self.tell(owner)
+    def delay_commit(self, owner: Owner) -> None:
+        """Delay a commit; reports are written meanwhile, and the owner may be replaced."""
+        owner.round(self.now, delayed=True)
+        self.write_report(owner)
         for pool in POOLS:
             self.deliver(pool, owner.state.pool)
-        if self.chance.random() < 0.3:
+        if self.rng.random() < 0.3:
             self.replace(owner.state.pool)
 
     def cancel(self, owner: Owner) -> None:
-        """Let a job be cancelled; the owner may be replaced while its runs are being stopped."""
-        owner.state.cancel(self.chance.choice(list(owner.state.jobs.values())))
-        if self.chance.random() < 0.5:
-            owner.round(self.now, held_up=False)
+        """Cancel a job; the owner may be replaced while its runs are being stopped."""
+        owner.state.cancel(self.rng.choice(list(owner.state.jobs.values())))
+        if self.rng.random() < 0.5:
+            owner.round(self.now, delayed=False)
             self.replace(owner.state.pool)
-            self.owners[owner.state.pool].round(self.now, held_up=False)
+            self.owners[owner.state.pool].round(self.now, delayed=False)
 
     def replace(self, pool: PoolId) -> None:
-        """Let a pool have a new owner; the one before may run on without knowing it."""
+        """Replace the owner of a pool; the earlier one may continue without knowing it."""
         self.frozen.append(self.owners[pool])
         self.owners[pool] = Owner(self, pool)
 
-    def disturb(self, worker: ModelWorker) -> None:
-        """Change what surrounds the owners."""
-        match self.chance.randrange(4):
+    def inject_fault(self, worker: ModelWorker) -> None:
+        """Change a worker, a limit, a configuration, or run a frozen owner."""
+        match self.rng.randrange(4):
             case 0:
                 worker.silent = not worker.silent
             case 1:
-                self.limit = self.chance.choice(LIMITS)
+                self.limit = self.rng.choice(LIMITS)
                 self.recent = max(self.recent, self.limit)
             case 2:
                 for owner in self.owners.values():
-                    owner.hear_configuration()
+                    owner.apply_configuration()
             case _ if self.frozen:
-                frozen = self.chance.choice(self.frozen)
-                frozen.round(self.now, held_up=False)
+                frozen = self.rng.choice(self.frozen)
+                frozen.round(self.now, delayed=False)
 
-    def calm_down(self) -> list[str]:
-        """Let all go well for a while; return what is still waiting without cause."""
-        self.calm = True
+    def stabilize(self) -> list[str]:
+        """Run some rounds without faults; return tasks that still wait without cause."""
+        self.stable = True
         for workers in self.workers.values():
             for worker in workers:
                 worker.silent = False
-        self.late.clear()
-        for _ in range(CALM_ROUNDS):
+        self.delayed_starts.clear()
+        for _ in range(STABLE_ROUNDS):
             self.now += 0.3
             for pool in POOLS:
                 owner = self.owners[pool]
-                owner.hear_configuration()
+                owner.apply_configuration()
                 for worker in self.workers[pool]:
-                    owner.look(worker)
-                    owner.look(worker)
-                owner.round(self.now, held_up=False)
-                self.tell(owner)
+                    owner.poll(worker)
+                    owner.poll(worker)
+                owner.round(self.now, delayed=False)
+                self.write_report(owner)
                 for other in POOLS:
                     self.deliver(other, pool)
         return [text for pool in POOLS for text in self._starving(self.owners[pool])]
 
     def _starving(self, owner: Owner) -> list[str]:
-        """Return the accounts whose next task waits while they use less than half."""
+        """Return accounts whose next task waits although they use less than half of their limit."""
         found = []
         for job in owner.state.jobs.values():
             running = sum(
@@ -402,35 +404,35 @@
         return found
 
 
-def play(seed: int) -> list[str]:
-    """Play one plan; return what was broken."""
+def run_plan(seed: int) -> list[str]:
+    """Run one plan; return the violations."""
     world = ModelWorld(random.Random(seed))
     world.recent = world.limit
     for _ in range(STEPS):
         world.step()
-    starving = world.calm_down()
-    return [*world.broken, *starving]
+    starving = world.stabilize()
+    return [*world.violations, *starving]
 
 
-def search() -> list[str]:
-    """Play many plans; return what the first broken one shows."""
+def run_plans() -> list[str]:
+    """Run many plans; return the violations of the first one that has any."""
     for seed in range(PLANS):
-        found = play(seed)
+        found = run_plan(seed)
         if found:
             return [f"seed {seed}: {text}" for text in found[:3]]
     return []
 
 
 class LimitModelTest(unittest.TestCase):
-    """Many plans, and the mutants that must be found."""
+    """Many random plans, and mutants that the check must find."""
 
     def assert_found(self) -> None:
-        self.assertNotEqual([], search())
+        self.assertNotEqual([], run_plans())
 
-    def test_limits_hold_and_nobody_starves(self) -> None:
-        self.assertEqual([], search())
+    def test_limits_hold_and_no_account_starves(self) -> None:
+        self.assertEqual([], run_plans())
 
-    def test_finds_a_part_taken_before_it_was_given(self) -> None:
+    def test_finds_a_transfer_taken_before_it_is_recorded(self) -> None:
         report = PoolLimits._report
 
         def hasty(limits: PoolLimits, account: AccountId) -> PartReport:
@@ -441,7 +443,7 @@
         with patch.object(PoolLimits, "_report", hasty):
             self.assert_found()
 
-    def test_finds_a_gift_that_is_taken_twice(self) -> None:
+    def test_finds_a_transfer_that_is_taken_twice(self) -> None:
         def take(ledger: Ledger, pool: PoolId, ever_given: int) -> bool:
             ledger.taken[pool] = ledger.taken.get(pool, 0) + ever_given
             return ever_given > 0
@@ -449,7 +451,7 @@
         with patch.object(Ledger, "take", take):
             self.assert_found()
 
-    def test_finds_a_part_that_dies_with_its_owner(self) -> None:
+    def test_finds_an_allotment_that_is_lost_with_its_owner(self) -> None:
         with patch.object(PoolLimits, "restore", lambda limits, records: None):
             self.assert_found()
 
@@ -469,6 +471,6 @@
         with patch.object(PoolState, "cancel", forgetful):
             self.assert_found()
 
-    def test_finds_parts_that_nobody_hands_on(self) -> None:
+    def test_finds_allotments_that_are_never_transferred(self) -> None:
         with patch.object(PoolLimits, "_decide_transfers", lambda *arguments: None):
             self.assert_found()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of accounts' limits: the parts that pools hold, and how they change hands."""
+"""Tests of account limits: allotments of pools and transfers between them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     ProgressRecord,
     StepRecord,
 )
-from tests.test_jobs import CONFIGURATION, end, make_pool, make_worker, run_all, submit
+from tests.test_jobs import CONFIGURATION, make_end, make_pool, make_worker, run_all, submit
 
 if TYPE_CHECKING:
     from pumicespur.jobs._pool import PoolState
@@ -55,27 +55,27 @@
     return limits
 
 
-def record_all(limits: PoolLimits) -> None:
-    """Let all that changed reach the store."""
+def record_changes(limits: PoolLimits) -> None:
+    """Note all changed ledgers as recorded."""
     limits.note_recorded(limits.take_changed(1000))
 
 
 def exchange(*all_limits: PoolLimits, now: float = 0.0) -> None:
-    """Let each pool hear once what the others told, and record what changes."""
-    told = {limits.pool: limits.reports() for limits in all_limits}
+    """Let each pool apply the reports of the others once, and record its changes."""
+    reported = {limits.pool: limits.reports() for limits in all_limits}
     for limits in all_limits:
         others: dict[AccountId, list[PeerAllotment]] = {}
-        for pool, reports in told.items():
+        for pool, reports in reported.items():
             if pool != limits.pool:
                 for report in reports:
                     name = AccountId(report.account)
                     others.setdefault(name, []).append(PeerAllotment(pool, report))
         limits.apply_reports(others, now)
-        record_all(limits)
+        record_changes(limits)
 
 
 def start(limits: PoolLimits, task: StepRecord, waiting: int, now: float = 0.0) -> int:
-    """Start what may start of some waiting tasks; return how many."""
+    """Start as many of some waiting tasks as the limits allow; return how many."""
     limits.begin_round()
     started = 0
     while started < waiting and limits.allows(SMALL, task, now):
@@ -87,20 +87,20 @@
 
 
 def held(*all_limits: PoolLimits) -> list[int]:
-    """Return what each pool holds."""
+    """Return the allotment of each pool."""
     return [limits.allotment_of(SMALL).ledger.allotment for limits in all_limits]
 
 
 class LedgerTest(unittest.TestCase):
-    """Gifts between pools, recorded as sums that only rise."""
+    """Transfers between pools, recorded as totals that only grow."""
 
     @given(st.integers(1, 40))
-    def test_founding_parts_add_up_to_the_whole(self, count: int) -> None:
+    def test_founding_allotments_add_up_to_the_whole_limit(self, count: int) -> None:
         pools = [PoolId(f"p{number}") for number in range(count)]
         self.assertEqual(WHOLE_LIMIT, sum(founding_allotment(pool, pools) for pool in pools))
         self.assertEqual(0, founding_allotment(PoolId("new"), pools))
 
-    def test_gift_told_twice_is_taken_once(self) -> None:
+    def test_transfer_reported_twice_is_taken_once(self) -> None:
         ledger = Ledger(SMALL, 100)
         self.assertTrue(ledger.take(B, 30))
         self.assertFalse(ledger.take(B, 30))
@@ -116,18 +116,18 @@
         self.assertEqual(80, again.allotment)
         self.assertEqual({C: 50}, again.recorded_given)
 
-    def test_gift_is_told_only_once_it_is_recorded(self) -> None:
+    def test_transfer_is_reported_only_after_it_is_recorded(self) -> None:
         giver, taker = make_limits(A, A, B), make_limits(B, A, B)
         start(taker, STEP, 9)
         giver.apply_reports({SMALL: [PeerAllotment(B, taker.reports()[0])]}, 0.0)
         self.assertGreater(giver.allotment_of(SMALL).ledger.given[B], 0)
         self.assertEqual([], giver._report(SMALL).transfers)
-        record_all(giver)
+        record_changes(giver)
         self.assertNotEqual([], giver._report(SMALL).transfers)
 
 
 class UseTest(unittest.TestCase):
-    """What an account has running."""
+    """Resource usage of an account."""
 
     def test_the_nearest_limit_counts(self) -> None:
         use = ResourceUsage(cpu_millis=500, memory_mb=900)
@@ -138,7 +138,7 @@
     def test_shares_are_rounded_up(self) -> None:
         self.assertEqual(WHOLE_LIMIT // 3 + 1, ResourceUsage(cpu_millis=1).share_of(Capacity(3, 0)))
 
-    def test_sum_that_is_back_at_nothing_is_forgotten(self) -> None:
+    def test_empty_sum_is_removed(self) -> None:
         use = AccountUsage()
         use.add(SMALL, STEP, 2)
         use.add(SMALL, STEP, -2)
@@ -146,22 +146,22 @@
 
     @given(st.integers(1, 50), st.integers(1, 400), st.integers(0, 60))
     def test_fitting_tasks_fit_and_one_more_does_not(
-        self, each: int, limit: int, most: int
+        self, each: int, limit: int, max_count: int
     ) -> None:
-        room, task = Capacity(limit, 0), StepRecord(cpu_millis=each)
-        count = ResourceUsage().count_fitting(room, task, most)
+        capacity, task = Capacity(limit, 0), StepRecord(cpu_millis=each)
+        count = ResourceUsage().count_fitting(capacity, task, max_count)
         self.assertLessEqual(count * each, limit)
-        self.assertTrue(count == most or (count + 1) * each > limit)
+        self.assertTrue(count == max_count or (count + 1) * each > limit)
 
 
 class LimitTest(unittest.TestCase):
-    """Starts within one pool's part."""
+    """Starts within the allotment of one pool."""
 
-    def test_tasks_start_up_to_the_part(self) -> None:
+    def test_tasks_start_up_to_the_allotment(self) -> None:
         self.assertEqual(5, start(make_limits(A, A, B), STEP, 20))
         self.assertEqual(10, start(make_limits(A, A), STEP, 20))
 
-    def test_account_without_a_limit_or_name_is_not_held(self) -> None:
+    def test_account_without_a_limit_or_name_is_not_blocked(self) -> None:
         limits = make_limits(A, A, B, cpu=0)
         self.assertEqual(50, start(limits, STEP, 50))
         self.assertTrue(limits.allows(AccountId(""), STEP, 0.0))
@@ -174,7 +174,7 @@
         limits.set_accounts(accounts(12_000))
         self.assertEqual(4, start(limits, STEP, 8))
 
-    def test_dropped_account_keeps_its_last_limit(self) -> None:
+    def test_removed_account_keeps_its_last_limit(self) -> None:
         limits = make_limits(A, A)
         limits.set_accounts({})
         self.assertEqual(10, start(limits, STEP, 20))
@@ -186,10 +186,10 @@
         self.assertEqual(0, start(limits, STEP, 1))
 
 
-class FlowTest(unittest.TestCase):
-    """Parts go where work waits."""
+class TransferTest(unittest.TestCase):
+    """Allotments move to the pools where tasks wait."""
 
-    def test_unused_parts_flow_after_one_exchange(self) -> None:
+    def test_unused_allotments_move_after_one_exchange(self) -> None:
         pools = [make_limits(pool, A, B, C) for pool in (A, B, C)]
         self.assertEqual(3, start(pools[0], STEP, 9))
         exchange(*pools)
@@ -197,7 +197,7 @@
         self.assertEqual(6, start(pools[0], STEP, 6))
         self.assertEqual(WHOLE_LIMIT, sum(held(*pools)))
 
-    def test_whole_limit_elsewhere_comes_back_as_soon_as_it_is_unused(self) -> None:
+    def test_whole_limit_in_another_pool_comes_back_once_unused(self) -> None:
         first, second = make_limits(A, A, B), make_limits(B, A, B)
         start(first, STEP, 10)
         exchange(first, second)
@@ -211,7 +211,7 @@
         exchange(first, second, now=UNUSED_RETENTION_S + 0.1)
         self.assertEqual(2, start(second, STEP, 2))
 
-    def test_pool_whose_account_is_busy_elsewhere_gets_half_as_runs_end(self) -> None:
+    def test_pool_gets_half_of_a_busy_limit_as_runs_end(self) -> None:
         first, second = make_limits(A, A, B), make_limits(B, A, B)
         start(first, STEP, 30)
         exchange(first, second)
@@ -225,7 +225,7 @@
             start(second, STEP, 30)
         self.assertEqual([WHOLE_LIMIT // 2, WHOLE_LIMIT // 2], held(first, second))
 
-    def test_unused_part_is_kept_for_a_moment(self) -> None:
+    def test_unused_allotment_is_retained_for_a_moment(self) -> None:
         first, second = make_limits(A, A, B), make_limits(B, A, B)
         start(first, STEP, 3)
         first.usage.add(SMALL, STEP, -3)
@@ -235,24 +235,24 @@
         exchange(first, second, now=UNUSED_RETENTION_S + 0.1)
         self.assertLess(held(first)[0], WHOLE_LIMIT * 3 // 10)
 
-    def test_task_larger_than_every_part_still_starts(self) -> None:
+    def test_task_larger_than_every_allotment_still_starts(self) -> None:
         pools = [make_limits(pool, A, B, C) for pool in (A, B, C)]
-        wide = StepRecord(cpu_millis=4_000)
+        large = StepRecord(cpu_millis=4_000)
         started = 0
         for _ in range(6):
-            started += sum(start(pool, wide, 2) for pool in pools)
+            started += sum(start(pool, large, 2) for pool in pools)
             exchange(*pools)
         self.assertEqual(2, started)
 
-    def test_gift_that_is_under_way_is_not_given_twice(self) -> None:
+    def test_transfer_in_transit_is_not_given_twice(self) -> None:
         giver, taker = make_limits(A, A, B), make_limits(B, A, B)
         start(taker, STEP, 7)
-        told = {SMALL: [PeerAllotment(B, taker.reports()[0])]}
+        reported = {SMALL: [PeerAllotment(B, taker.reports()[0])]}
         for _ in range(3):
-            giver.apply_reports(told, 0.0)
+            giver.apply_reports(reported, 0.0)
         self.assertEqual(WHOLE_LIMIT // 5, giver.allotment_of(SMALL).ledger.given[B])
 
-    def test_giver_goes_on_telling_until_the_gift_is_taken(self) -> None:
+    def test_giver_reports_a_transfer_until_it_is_taken(self) -> None:
         giver, taker = make_limits(A, A, B), make_limits(B, A, B)
         start(taker, STEP, 7)
         exchange(giver, taker)
@@ -277,7 +277,7 @@
 
 
 class PoolLimitTest(unittest.TestCase):
-    """Limits within a pool's placement, and what counts against them."""
+    """Limits during placement, and the usage that counts against them."""
 
     def setUp(self) -> None:
         self.pool = make_pool(make_worker("w-1", cpu=20_000))
@@ -310,90 +310,90 @@
         load.remove(task)
         self.assertEqual(2_000, self.used(self.pool))
 
-    def test_run_that_ended_makes_room(self) -> None:
+    def test_ended_run_frees_its_share_of_the_limit(self) -> None:
         submit(self.pool, self.record("1"))
         task = run_all(self.pool)[0]
         assert task.worker is not None
-        self.pool.note_end(task.worker, end(task, RunEnd.DONE), 0.0)
+        self.pool.note_end(task.worker, make_end(task, RunEnd.DONE), 0.0)
         self.assertEqual(1, len(run_all(self.pool)))
 
-    def test_gang_that_does_not_fit_is_not_begun(self) -> None:
+    def test_gang_that_exceeds_the_limit_is_not_started(self) -> None:
         submit(self.pool, self.record("1", gang=True))
         self.assertEqual([], run_all(self.pool))
         self.assertEqual(0, self.used(self.pool))
         submit(self.pool, self.record("2", count=3, gang=True))
         self.assertEqual(3, len(run_all(self.pool)))
 
-    def test_lost_worker_frees_what_it_ran(self) -> None:
+    def test_lost_worker_frees_its_runs(self) -> None:
         submit(self.pool, self.record("1"))
         run_all(self.pool)
         self.pool.drop_worker(WorkerId("w-1"))
         self.assertEqual(0, self.used(self.pool))
 
-    def test_account_that_nobody_can_carry_asks_for_no_part(self) -> None:
+    def test_tasks_that_fit_no_worker_cause_no_shortfall(self) -> None:
         pool = make_pool(make_worker("w-1", cpu=2_000))
         pool.limits.set_accounts(accounts(1_000))
         submit(pool, self.record("1", count=9, cpu_millis=3_000))
         run_all(pool)
         self.assertEqual(set(), pool.limits.blocked_accounts)
 
-    def test_waiting_work_beyond_the_limit_asks_for_no_workers(self) -> None:
+    def test_waiting_work_beyond_the_limit_requests_no_workers(self) -> None:
         submit(self.pool, self.record("1", count=50))
         self.assertEqual(3_000, current_demand(self.pool, 0.0).waiting.cpu_millis)
 
 
 class ShareTest(unittest.TestCase):
-    """Which jobs go after those of other accounts."""
+    """Jobs beyond their account's fair share."""
 
     def beyond(self, weight: float, times_ms: list[int]) -> list[bool]:
         meter = FairShareMeter()
         return [meter.exceeds_share(SMALL, weight, at) for at in times_ms]
 
-    def test_so_many_in_a_second_are_within_the_share(self) -> None:
+    def test_jobs_within_the_rate_are_within_the_share(self) -> None:
         self.assertEqual([False] * 5 + [True] * 3, self.beyond(4.0, [1_000] * 8))
 
-    def test_share_comes_back_with_time(self) -> None:
+    def test_share_recovers_over_time(self) -> None:
         self.assertTrue(self.beyond(4.0, [1_000] * 8)[-1])
         self.assertFalse(self.beyond(4.0, [1_000] * 8 + [2_000])[-1])
 
-    def test_steady_caller_at_its_rate_never_goes_beyond(self) -> None:
+    def test_steady_caller_at_its_rate_is_never_beyond(self) -> None:
         self.assertFalse(any(self.beyond(4.0, list(range(0, 60_000, 250)))))
 
-    def test_without_a_weight_nothing_goes_beyond(self) -> None:
+    def test_without_a_weight_nothing_is_beyond(self) -> None:
         self.assertFalse(any(self.beyond(0.0, [0] * 50)))
 
-    def test_hot_account_makes_others_wait_no_longer(self) -> None:
-        self.assertTrue(self.calm_account_is_served())
+    def test_busy_account_does_not_delay_others(self) -> None:
+        self.assertTrue(self.quiet_account_is_served())
 
-    def test_finds_a_hot_account_that_goes_first(self) -> None:
+    def test_finds_a_busy_account_that_delays_others(self) -> None:
         with patch.object(FairShareMeter, "exceeds_share", lambda *arguments: False):
-            self.assertFalse(self.calm_account_is_served())
+            self.assertFalse(self.quiet_account_is_served())
 
-    def calm_account_is_served(self) -> bool:
+    def quiet_account_is_served(self) -> bool:
         pool = make_pool(make_worker("w-1", cpu=4_000))
-        hot, calm = AccountId("hot"), AccountId("calm")
+        busy, quiet = AccountId("hot"), AccountId("calm")
         configuration = Configuration(
             1,
             CONFIGURATION.routes,
             {},
-            accounts={name: ClientAccount(name, 2.0, Capacity(0, 0)) for name in (hot, calm)},
+            accounts={name: ClientAccount(name, 2.0, Capacity(0, 0)) for name in (busy, quiet)},
         )
         step = StepRecord(count=1, cpu_millis=1_000)
         for number in range(12):
-            owner = calm if number == 11 else hot
+            account = quiet if number == 11 else busy
             record = JobRecord(
                 id=f"{number:016x}",
                 route="quick",
                 steps=[step],
-                account=owner,
+                account=account,
                 accepted_ms=1_000 + number,
             )
             pool.add_job(record, configuration, None)
-        return calm in [task.job.account for task in pool.place(0.0, 1_100.0)]
+        return quiet in [task.job.account for task in pool.place(0.0, 1_100.0)]
 
 
 class InheritedRunsTest(unittest.TestCase):
-    """Runs that an earlier owner ordered."""
+    """Runs started by an earlier owner."""
 
     def setUp(self) -> None:
         self.before = make_pool(make_worker("w-1", cpu=20_000))
@@ -435,7 +435,7 @@
         self.pool.resolve_inherited(WorkerId("w-1"))
         self.assertEqual(0, self.used())
 
-    def test_report_of_part_tells_what_is_used(self) -> None:
+    def test_report_contains_the_usage(self) -> None:
         for run in self.progress().left or self.job.outstanding_runs():
             self.pool.add_inherited_run(SMALL, run)
         self.pool.limits.awaited_accounts = {SMALL}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -285,7 +285,7 @@
         worker = self.world.workers["m-0"]
         await self.world.wait_for(lambda: bool(self.world.owner()), "the pool has an owner")
         await self.world.wait_for(
-            lambda: '"worker answers"' in self.node.log.read_text(), "workers are watched"
+            lambda: '"worker reachable"' in self.node.log.read_text(), "workers are watched"
         )
         self.world.drain_worker("m-0")
         await self.world.wait_for(
@@ -416,7 +416,7 @@
         self.assertEqual(0, await asyncio.to_thread(self.node.process.wait, 10))
         lines = [json.loads(line) for line in self.node.log.read_text().splitlines()]
         about = {line["event"] for line in lines if line.get("job") == job_id(1)}
-        self.assertLessEqual({"job accepted", "job known", "task ended", "job ended"}, about)
+        self.assertLessEqual({"job accepted", "job received", "task ended", "job ended"}, about)
         events = {line["event"] for line in lines}
         self.assertLessEqual({"process started", "stop asked", "process stopped"}, events)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests that placing many tasks at once chooses as placing them one by one does."""
+"""Tests that batch placement chooses the same workers as placing tasks one by one."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def place_one_by_one(pool: PoolState) -> list[tuple[str, str]]:
-    """Place each waiting task on the fullest worker that takes it, near its data if possible."""
+    """Place each waiting task on the fullest eligible worker, in its data's rack if possible."""
     found = []
     for group in order_groups(pool.jobs.values(), 0.0):
         for task in group.waiting():
@@ -47,7 +47,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """The short way and the long way."""
+    """Batch placement against placing tasks one by one."""
 
     def pool(self, workers: list[int], steps: list[tuple[int, int, int, int, str]]) -> PoolState:
         pool = make_pool(
