--- a/pumicespur/jobs/_advice_client.py
+++ b/pumicespur/jobs/_advice_client.py
@@ -1,4 +1,4 @@
-"""Permission of the advising service: which workers may run a step, and for how long."""
+"""Client of the advice service, which issues tickets for running a step on given workers."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 log = Logger(__name__)
 
 MAX_WORKERS_PER_CALL = 16
-"""Workers named in one call: enough to spread a step, and a tenth of a second of advice."""
+"""Workers in one call: enough to spread a step; the response takes a tenth of a second."""
 
 IDLE_POLL_INTERVAL_S = 0.05
-"""Pause while no step needs advice."""
+"""Pause while no step needs tickets."""
 
 RETRY_DELAY_S = 0.3
-"""Pause after the service refused or did not response; it works on one call at a time."""
+"""Pause after the service refused or did not respond; it handles one call at a time."""
 
 
 class AdviceClient:
-    """Asks for tickets, the most pressing step first, one call at a time."""
+    """Requests tickets, one call at a time, for the step with the highest priority first."""
 
     def __init__(self, pool: PoolState, orders: WorkerOrders) -> None:
         self.pool = pool
         self.orders = orders
 
     async def run(self) -> None:
-        """Ask for as long as the pool is owned."""
+        """Request tickets for as long as the pool is owned."""
         while True:
             group = self._next_group()
             if group is None:
                 await anyio.sleep(IDLE_POLL_INTERVAL_S)
-            elif not await self._ask(group):
+            elif not await self._request_tickets(group):
                 await anyio.sleep(RETRY_DELAY_S)
 
     def _next_group(self) -> StepGroup | None:
@@ -58,18 +58,18 @@
         loads.sort(key=lambda load: (load.utilization(), load.worker.id))
         return [load.worker.id for load in loads[:MAX_WORKERS_PER_CALL]]
 
-    async def _ask(self, group: StepGroup) -> bool:
-        asked_at = monotonic()
+    async def _request_tickets(self, group: StepGroup) -> bool:
+        requested_at = monotonic()
         workers = self._candidates(group)
         response = await self.orders.advise(group.name, workers)
         match response:
             case Result(tag="ok", ok=(tickets, valid_s)):
-                # Counted from the question, so that no ticket is used after its time.
+                # The validity is counted from the request, so that no ticket is used after it expires.
                 group.tickets = {
-                    worker: (ticket, asked_at + valid_s) for worker, ticket in tickets.items()
+                    worker: (ticket, requested_at + valid_s) for worker, ticket in tickets.items()
                 }
-                log.info("advice taken", job=group.job.id, step=group.name, workers=len(tickets))
+                log.info("advice received", job=group.job.id, step=group.name, workers=len(tickets))
                 return bool(tickets)
             case Result(error=error):
-                log.warning("advice not given", step=group.name, reason=str(error))
+                log.warning("advice not received", step=group.name, reason=str(error))
                 return False
--- a/pumicespur/jobs/_crash_attribution.py
+++ b/pumicespur/jobs/_crash_attribution.py
@@ -120,7 +120,7 @@
     for task in waiting:
         if slots <= 0:
             return
-        able = [load for load in available if _can_quarantine(load, task, now)]
+        eligible = [load for load in available if _can_quarantine(load, task, now)]
         if eligible:
             min(eligible, key=lambda load: _quarantine_order(load, task)).reserved = True
             slots -= 1
@@ -164,11 +164,11 @@
     new = [task for task in ordered if task.stability is RunStability.NEW]
     if not new and load.leaving:
         return []
-    blamed = new or [task for task in ordered if task.stability is RunStability.PROVEN]
+    suspected = new or [task for task in ordered if task.stability is RunStability.PROVEN]
     sole_suspect = len(new) == 1 and single and not load.leaving
-    for task in blamed:
+    for task in suspected:
         task.losses.append(WorkerLoss(load.worker.id, load.instance, sole_suspect))
-    return blamed
+    return suspected
 
 
 def _was_ordered(task: Task, load: WorkerLoad) -> bool:
--- a/pumicespur/jobs/_journal.py
+++ b/pumicespur/jobs/_journal.py
@@ -1,4 +1,4 @@
-"""Commits of a pool's owner: each one applies once, and none after the pool has a new owner."""
+"""Commits of a pool's owner: each applies exactly once, and none after a takeover."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 log = Logger(__name__)
 
 RETRY_DELAY_S = 0.05
-"""First pause after a error of the store; a few of its usual answers."""
+"""First retry delay after an error of the store; a few of its usual response times."""
 
 MAX_RETRY_DELAY_S = 0.5
-"""Longest pause after a error, so that work goes on soon after an outage."""
+"""Longest retry delay, so that work resumes soon after an outage."""
 
 
 class OwnershipLostError(Exception):
-    """Another process owns the pool now; nothing more may be ordered or recorded."""
+    """Another process owns the pool now; this one may neither order nor record anything."""
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
 
 
 class Journal:
-    """Writes an owner's commits one after the other."""
+    """Writes an owner's commits in sequence."""
 
     def __init__(self, table: PlatformTable, ownership: Ownership) -> None:
         self.table = table
@@ -55,7 +55,7 @@
         """When the newest commit that took effect was sent, on the monotonic clock."""
 
     async def load(self) -> None:
-        """Read the last commit of the owner before; nothing of its can follow any more."""
+        """Read the previous owner's last commit; since the takeover no other can follow."""
         while True:
             last = await self.table.read(commit_key(self.ownership.pool))
             match last:
@@ -67,7 +67,7 @@
                     await anyio.sleep(MAX_RETRY_DELAY_S * random.uniform(0.5, 1.0))
 
     async def release(self, process: str) -> None:
-        """Give the pool up; whoever takes it need not wait for this process to go silent."""
+        """Release the pool, so that the next owner need not wait for this process to time out."""
         key = owner_key(self.ownership.pool)
         record = OwnerRecord(process=process, incarnation=self.ownership.incarnation, released=True)
         transaction = Transaction(
@@ -84,9 +84,11 @@
     async def commit(self, writes: list[Write]) -> None:
         """Write rows as the pool's owner; return only when they are known to be recorded.
 
-        A commit without an response may still take effect later. It is sent again unchanged:
-        it replaces a row that it also has as a condition, so it can apply only once, and
-        when it is refused, that row tells whether it had been applied.
+        A commit without a response may still apply later, so it is retried unchanged. It replaces a
+        row whose version is one of its conditions, so it can apply only once. If a retry is refused,
+        that row shows whether the commit was applied.
+
+        Raises OwnershipLostError if the pool has a new owner.
         """
         transaction, record = self._transaction(writes)
         started = monotonic()
--- a/pumicespur/jobs/_stops.py
+++ b/pumicespur/jobs/_stops.py
@@ -1,4 +1,4 @@
-"""Which runs on a worker are stopped: those that nobody wants there, and those that stand still."""
+"""Which runs on a worker are stopped: unwanted ones and stalled ones."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
     from pumicespur.model import TaskName
 
 MIN_STALL_TIMEOUT_S = 2.0
-"""Time without a percent of progress after which a short task stands still: two looks and a
-half, while sound tasks of a second or two gain a percent in a fiftieth of a second."""
+"""Minimum time without progress after which a short task counts as stalled: two and a half polls.
+Healthy tasks of one or two seconds gain a percent in a fiftieth of a second."""
 
 STALL_TIMEOUT_RATIO = 0.1
-"""Share of a task's estimate that it may take for one percent; estimates are far off."""
+"""Share of a task's estimate that one percent of progress may take; estimates are inaccurate."""
 
 STOP_RETRY_DELAY_S = 0.4
-"""Time after which a stop that shows no effect is sent again."""
+"""Time after which a stop without effect is sent again."""
 
 
 def is_stalled(task: Task, now: float) -> bool:
-    """Tell whether a task has made no progress for longer than any sound one would."""
+    """Whether a task has made no progress for longer than a healthy one would."""
     if task.state is not TaskState.RUNNING or task.job.ended or task.spec.long_running:
         return False
     if now - task.stop_sent_at < STOP_RETRY_DELAY_S:
         return False
-    patience_s = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_RATIO * task.spec.estimated_ms / 1000)
-    return now - task.progressed_at > patience_s
+    timeout_s = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_RATIO * task.spec.estimated_ms / 1000)
+    return now - task.progressed_at > timeout_s
 
 
 def mark_stalled(load: WorkerLoad, now: float) -> list[Task]:
-    """Choose tasks that stand still, so that they go on elsewhere from their checkpoint."""
+    """Return stalled tasks, marked as stopping; they continue elsewhere from their checkpoint."""
     chosen = [
         task for task in load.tasks if task.worker == load.worker.id and is_stalled(task, now)
     ]
@@ -50,7 +50,7 @@
 
 @dataclass
 class UnwantedRuns:
-    """Runs on one worker that should not be there: cancelled, failed or replaced ones."""
+    """Unwanted runs on one worker: cancelled, failed or replaced ones."""
 
     stops: dict[tuple[TaskName, int], float] = field(default_factory=dict)
     """When each was last ordered to stop (monotonic seconds)."""
@@ -62,7 +62,7 @@
         running: Collection[tuple[TaskName, int]],
         now: float,
     ) -> list[tuple[TaskName, int]]:
-        """Choose runs to stop; a stop that shows no effect is ordered again after a while."""
+        """Return the runs to stop; a stop without effect is repeated after a delay."""
         chosen = []
         for name, run in running:
             task = pool.find_task(name)
--- a/pumicespur/jobs/_submission_cleanup.py
+++ b/pumicespur/jobs/_submission_cleanup.py
@@ -1,4 +1,4 @@
-"""Drop the submissions of ended jobs, many with one call and only while the store is quick."""
+"""Cleanup of ended jobs' submission rows, in batches and only while the store responds fast."""
 
 from __future__ import annotations
 
@@ -20,61 +20,62 @@
 log = Logger(__name__)
 
 CLEANUP_INTERVAL_S = 3.0
-"""Pause between sweeps; nobody waits for one, a successor finds the ends in the progress."""
+"""Pause between cleanups. Nothing waits for them: a successor reads the ends of jobs from the
+progress rows."""
 
 MAX_ROWS_PER_CALL = 90
-"""Rows in one call; the store takes 100."""
+"""Maximum rows in one call; the store accepts 100."""
 
 MAX_RESPONSE_TIME_S = 0.1
-"""Answer time of the store above which a sweep waits: it serves the writes of one part in turn,
-and callers wait behind. With a store some 50 times slower than usual, sweeping less and in more
-parts took the jobs that callers gave up from 5.5% to 3.4% of a minute's (one day, two runs)."""
+"""Response time of the store above which cleanup is put off. The store serves the writes of one
+partition in sequence, so cleanup delays callers: with a store 50 times slower than usual, callers
+gave up more jobs."""
 
 
 class SubmissionCleanup:
-    """Remembers what may go, and writes it part by part."""
+    """Collects submission rows to shrink or delete and writes them by partition."""
 
     def __init__(self, pool: PoolId, table: PlatformTable) -> None:
         self.pool = pool
         self.table = table
         self.pending: dict[JobId, Write] = {}
-        """What the next sweep writes."""
+        """Writes of the next cleanup."""
         self.removing: set[JobId] = set()
-        """Jobs that are to be forgotten, until the owner has dropped their progress too."""
+        """Jobs to delete, until the owner deletes their progress rows too."""
         self.removed: list[JobId] = []
-        """Those of them whose submission is known to be gone. Only then may the progress go,
-        which alone tells a successor that the job has ended."""
+        """Jobs to delete whose submission row is confirmed as deleted. Only then may the progress row
+        be deleted, which alone shows a successor that the job has ended."""
 
     def compact(self, job: JobId, route: RouteName, account: AccountId) -> None:
-        """Drop what is no longer needed of a job whose end is recorded; its id stays taken.
+        """Reduce the submission row of a job whose end is recorded; its id stays in use.
 
-        Whose it was is kept, so that another account can't use the id. A removal that is pending
-        stays.
+        The account is kept, so that no other account can use the id. A pending deletion has
+        precedence.
         """
         record = JobRecord(id=job, route=route, account=account, ended=True)
         write = Write(submission_key(self.pool, job), record.to_binary())
         self.pending.setdefault(job, write)
 
     def remove(self, job: JobId) -> None:
-        """Forget a job that ended long ago."""
+        """Delete the submission row of a job past its retention."""
         self.removing.add(job)
         self.pending[job] = Write(submission_key(self.pool, job), None)
 
     def take_removed(self) -> list[JobId]:
-        """Return jobs whose progress may go now; they are forgotten here."""
+        """Remove and return jobs whose progress rows may be deleted now."""
         removed, self.removed = self.removed[:MAX_ROWS_PER_CALL], self.removed[MAX_ROWS_PER_CALL:]
         self.removing.difference_update(removed)
         return removed
 
     async def run(self) -> None:
-        """Sweep again and again until cancelled."""
+        """Clean up periodically until cancelled."""
         while True:
             await anyio.sleep(CLEANUP_INTERVAL_S)
             if self.table.times.worst_s(monotonic()) < MAX_RESPONSE_TIME_S:
                 await self.clean_up()
 
     async def clean_up(self) -> None:
-        """Write what is pending; what is not confirmed stays for the next sweep."""
+        """Write the pending rows; unconfirmed ones stay for the next cleanup."""
         parts: defaultdict[str, list[tuple[JobId, Write]]] = defaultdict(list)
         for job, write in self.pending.items():
             parts[write.key.rpartition("/")[0]].append((job, write))
@@ -82,7 +83,7 @@
             chosen = entries[:MAX_ROWS_PER_CALL]
             response = await self.table.transact(Transaction([], [write for _, write in chosen]))
             if response.is_error():
-                log.info("submissions not swept", part=part, reason=str(response.error))
+                log.info("submissions not cleaned up", part=part, reason=str(response.error))
                 return
             for job, write in chosen:
                 self._confirm(job, write)
--- a/pumicespur/jobs/_submission_follower.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -1,4 +1,4 @@
-"""How an owner hears of its pool's jobs: submissions, cancellations, what was recorded."""
+"""Reads and follows a pool's submissions and cancellations, and loads recorded progress."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 log = Logger(__name__)
 
 RETRY_DELAY_S = 0.2
-"""Pause after a error of the store outside commits."""
+"""Pause after an error of the store outside commits."""
 
 MAX_WATCH_S = 0.25
-"""Longest wait for new submissions in one request. A request that the store has forgotten hears
-nothing; each second of that is as much of the callers' latency objective. The submissions are then
-read themselves, since the jobs that wait unheard make those behind them late as well."""
+"""Longest wait for new submissions in one request. A request that the store lost returns no
+changes, and that time counts against the callers' latency objective. The submissions are then read
+in full, since jobs that arrive unnoticed also delay those behind them."""
 
 
 class SubmissionFollower:
-    """Takes jobs into a pool's state."""
+    """Adds submitted jobs to a pool's state and applies cancellations."""
 
     def __init__(
         self,
@@ -56,18 +56,18 @@
         self.watch_s = min(settings.store.watch_s, MAX_WATCH_S)
         """Longest wait for changes in one request, in seconds."""
         self.max_age_s = submissions_max_age_s(settings.workers)
-        """Age of what is known at which it is of no use for starts any more, in seconds."""
+        """Maximum age of the submissions for starts, in seconds."""
         self.wake = wake
-        """Asks the owner for a round."""
+        """Requests a round of the owner."""
         self.note_arrival = note_arrival
         self.ended: dict[JobId, int] = {}
-        """Jobs that have ended, by the time of day in milliseconds."""
+        """Ended jobs with the time of their end, in milliseconds since 1970."""
         self.cleanup = SubmissionCleanup(pool.pool, table)
         self.reading = Reading()
-        """How far the submissions are known."""
+        """Version and age of the known submissions."""
 
     async def load(self) -> None:
-        """Read what earlier owners recorded; since the takeover nothing of theirs can change it."""
+        """Read what earlier owners recorded; since the takeover they can't change it."""
         kept = await self._retry(lambda: self.table.scan("progress", self.pool.pool))
         progress: dict[str, ProgressRecord] = {}
         for row in kept.rows:
@@ -82,7 +82,7 @@
             self._apply(submitted, version, progress)
 
     async def _read_all(self) -> list[Row]:
-        """Read all submissions; changes are followed from the oldest page on."""
+        """Read all submissions; changes are followed from the oldest page's version on."""
         pool = self.pool.pool
         pages: list[Page] = []
         asked_at = monotonic()
@@ -108,7 +108,7 @@
                     await anyio.sleep(RETRY_DELAY_S)
 
     def _parse_submissions(self, rows: list[Row]) -> list[tuple[JobRecord, int]]:
-        """Return jobs with their rows' versions, in the order in which they were handed in."""
+        """Return jobs with the versions of their rows, in order of submission."""
         found = [(JobRecord.from_binary(row.value), row.version) for row in rows if row.version]
         return sorted(found, key=lambda entry: entry[0].accepted_ms)
 
@@ -139,26 +139,26 @@
         self.wake()
 
     async def follow(self) -> None:
-        """Take in jobs and cancellations as callers' entries write them."""
+        """Apply jobs and cancellations as the entry processes write them."""
         pool = self.pool.pool
         table = submissions_table(pool)
         while True:
             asked_at = monotonic()
-            useful_s = max(0.0, self.max_age_s - self.watch_s)
-            patience_s = min(self.table.times.patience_s(asked_at), useful_s)
+            max_useful_s = max(0.0, self.max_age_s - self.watch_s)
+            timeout_s = min(self.table.times.patience_s(asked_at), max_useful_s)
             response = await self.table.changes(
                 table, self.reading.version, self.watch_s, patience_s
             )
             match response:
                 case Result(tag="ok", ok=page):
-                    proved_at = asked_at if page.complete else self.reading.asked_at
-                    self.reading = Reading(page.version, proved_at)
+                    current_as_of = asked_at if page.complete else self.reading.asked_at
+                    self.reading = Reading(page.version, current_as_of)
                     rows = page.rows
                 case Result(error=HistoryGone()):
-                    log.warning("submissions read anew", pool=pool, reason="history gone")
+                    log.warning("submissions read in full", pool=pool, reason="history gone")
                     rows = await self._read_all()
                 case Result(error=AnswerLost()) if self.table.answers():
-                    log.info("submissions read anew", pool=pool, reason="no word of changes")
+                    log.info("submissions read in full", pool=pool, reason="no response to a request for changes")
                     rows = await self._read_all()
                 case Result(error=error):
                     log.warning("submissions not followed", pool=pool, reason=str(error))
--- a/pumicespur/jobs/_throttle.py
+++ b/pumicespur/jobs/_throttle.py
@@ -1,4 +1,4 @@
-"""How fast tasks that fill may work beside tasks that serve users."""
+"""Throttling of best-effort tasks that run beside tasks with latency objectives."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 FULL_SPEED_PERCENT = 100
 REDUCED_SPEED_PERCENT = 30
-"""First share, in percent, to which best_effort tasks are slowed; the next is a standstill."""
+"""First share, in percent, to which best-effort tasks are throttled; the next step is a standstill."""
 
 THROTTLE_ABOVE_RATIO = 0.85
-"""Share of a latency objective above which best_effort tasks are slowed."""
+"""Share of a latency objective above which best-effort tasks are throttled."""
 
 SPEED_UP_BELOW_RATIO = 0.6
-"""Share of a latency objective below which they may work faster again."""
+"""Share of a latency objective below which best-effort tasks speed up again."""
 
 SPEED_STEP_PERCENT = 20
-"""Percent by which they work faster each time."""
+"""Increase of the speed at each step."""
 
 CHANGE_INTERVAL_S = 0.6
-"""Pause between changes on one worker: the figures are means of half a second."""
+"""Pause between changes on one worker, as measurements are averages over half a second."""
 
 
 def choose_speed_changes(loads: Iterable[WorkerLoad], now: float) -> list[tuple[Task, int]]:
-    """Return the best_effort tasks whose pace changes, with the new share in percent."""
+    """Return the best-effort tasks whose speed changes, with the new speed in percent."""
     changes: list[tuple[Task, int]] = []
     for load in loads:
         if now - load.throttled_at < CHANGE_INTERVAL_S:
@@ -39,9 +39,9 @@
         best_effort = [task for task in running if task.spec.fills]
         latency_ratio = max((_latency_ratio(task) for task in running), default=0.0)
         found = [
-            (task, pace)
+            (task, percent)
             for task in best_effort
-            if (pace := _next_speed(task, latency_ratio)) != task.speed_percent
+            if (percent := _next_speed(task, latency_ratio)) != task.speed_percent
         ]
         if found:
             load.throttled_at = now
--- a/pumicespur/jobs/_unconfirmed_starts.py
+++ b/pumicespur/jobs/_unconfirmed_starts.py
@@ -28,7 +28,7 @@
 
     run: int
     since: float
-    """When its call was given up (monotonic seconds); only later requested statuses are conclusive."""
+    """When its call was given up (monotonic seconds); statuses requested before prove nothing."""
     revoked_at: float | None = None
     """When the worker confirmed that the run is revoked (monotonic seconds)."""
     ordered_to: WorkerId | None = None
@@ -42,7 +42,7 @@
     tasks: set[Task] = field(default_factory=set)
 
     def remove_confirmed(self, worker: WorkerId, running: Container[RunKey]) -> None:
-        """Remove tasks that the worker lists as running, that have ended or are assigned elsewhere."""
+        """Remove tasks that the worker lists as running, that ended or are assigned elsewhere."""
         self.tasks = {
             task
             for task in self.tasks
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -295,7 +295,8 @@
 
     def test_short_tasks_leave_whole_workers_idle(self) -> None:
         # Spread evenly, the last tasks of a load peak kept all of its workers from the next pool,
-        # where half of the jobs of the first four seconds were overdue.
+        # where half of the jobs of the first four seconds were overdue, against a quarter when
+        # tasks are packed.
         workers = [make_worker(f"w-{n}", cpu=4000) for n in range(4)]
         pool = make_pool(*workers)
         submit(pool, make_record(StepRecord(count=6, cpu_millis=1000)))
@@ -708,7 +709,7 @@
         self.assertEqual(0, self.arrivals.cpu_millis(100))
 
     def test_long_job_is_spread_over_its_critical_path(self) -> None:
-        # One job with 32 large tasks looked like a load peak: 77 workers were moved and stayed idle.
+        # One job with 32 large tasks looked like a load peak: 77 workers were moved and idled.
         steps = [
             StepRecord(count=32, cpu_millis=4000, estimated_ms=4000),
             StepRecord(count=32, cpu_millis=4000, estimated_ms=4000, depends_on=[0]),
