--- a/pumicespur/jobs/_access.py
+++ b/pumicespur/jobs/_access.py
@@ -1,8 +1,8 @@
-"""Which callers a job is there for.
+"""Which callers can see a job.
 
-To another account a job is not there: asking and cancelling are answered as for an id that was
-never used, so that nobody learns who else is served or when. Only handing in under an id that is
-taken can't be answered so, since one of two jobs would be lost.
+A job is invisible to other accounts: queries and cancellations get the response for an unused id, so
+that no caller learns whose jobs are served or when. Only a submission under an id of another
+account is refused openly, since one of the two jobs would be lost otherwise.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 def is_visible_to(caller: AccountId, route: Route, job: JobRecord | ProgressRecord) -> bool:
-    """Tell whether a caller on a route may know of a job.
+    """Whether a caller on a route can see a job.
 
-    A job without an account came while its route needed no key; whoever may call the route now
-    may ask for it. On a route that needs none any more, callers send none for jobs of before.
+    A job without an account was submitted while its route required no key; anyone who may call the
+    route now can see it. If a route no longer requires a key, callers send none for earlier jobs.
     """
     if not job.account or job.account == caller:
         return True
--- a/pumicespur/jobs/_account_report.py
+++ b/pumicespur/jobs/_account_report.py
@@ -57,13 +57,13 @@
 def describe_accounts(pool: PoolState) -> dict[str, dict[str, object]]:
     """Return the usage and the limits of accounts in a pool, for JSON."""
     largest, others = _largest(pool)
-    found = {str(account): _describe(pool, account, used) for account, used in largest}
+    described = {str(account): _describe(pool, account, used) for account, used in largest}
     for account in sorted(pool.limits.blocked_accounts)[:MAX_NAMED_ACCOUNTS]:
         used = pool.limits.usage.of(account)
-        found.setdefault(account, _describe(pool, account, used))
+        described.setdefault(account, _describe(pool, account, used))
     if others.tasks:
-        found[OTHERS] = {"tasks": others.tasks, "cpu_millis": others.cpu_millis}
-    return found
+        described[OTHERS] = {"tasks": others.tasks, "cpu_millis": others.cpu_millis}
+    return described
 
 
 def _describe(pool: PoolState, account: AccountId, used: ResourceUsage) -> dict[str, object]:
--- a/pumicespur/jobs/_availability.py
+++ b/pumicespur/jobs/_availability.py
@@ -1,4 +1,4 @@
-"""Which long-running tasks may be moved now without taking too many away at once."""
+"""Which tasks may be moved off leaving workers now, within the availability budget."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
     from pumicespur.jobs._worker_load import WorkerLoad
 
 CHECKPOINT_LEAD_TIME_S = 0.8
-"""Time before a worker leaves by which tasks with checkpoints are stopped: two stops."""
+"""Time before a worker leaves at which tasks with checkpoints are stopped; twice a stop."""
 
 MOVE_RETRY_DELAY_S = 1.0
-"""Time after which a stop for a move that shows no effect is given again."""
+"""Time after which a stop for a move without effect is sent again."""
 
 
 def tasks_to_move(pool: PoolState, now: float) -> list[Task]:
-    """Choose long-running tasks to stop, on workers that are being emptied or leave.
+    """Choose tasks to stop on workers that are being evacuated or leave.
 
-    A task is stopped only while fewer other tasks of its step are away than may be, for
-    whatever cause.
+    A long-running task is stopped only while the unavailable other tasks of its step, for whatever
+    reason, are fewer than the step permits. A short task is stopped just before its worker leaves,
+    if its progress can be kept.
     """
     leaving = [load for load in pool.loads.values() if _is_leaving(load)]
     chosen: list[Task] = []
@@ -39,7 +40,7 @@
 
 
 def _would_lose_progress(load: WorkerLoad, task: Task, now: float) -> bool:
-    """Whether a short task would end with its worker although its progress can be kept."""
+    """Whether a short task with checkpoints would soon be lost with its leaving worker."""
     if load.leaves_at is None or load.leaves_at - now > CHECKPOINT_LEAD_TIME_S:
         return False
     if task.spec.long_running or not task.spec.checkpoints or task.job.ended:
@@ -63,15 +64,15 @@
 
 
 def count_unavailable_others(pool: PoolState, task: Task, chosen: list[Task]) -> int:
-    """Count the other tasks of a step that are not known to be at work, or will not be."""
+    """Count the other tasks of a step that are not known to work or are chosen to stop."""
     return sum(
         1
         for other in task.group.tasks
-        if other is not task and (other in chosen or _is_away(pool, other))
+        if other is not task and (other in chosen or _is_unavailable(pool, other))
     )
 
 
-def _is_away(pool: PoolState, task: Task) -> bool:
+def _is_unavailable(pool: PoolState, task: Task) -> bool:
     if task.unavailable_since is not None or task.state is not TaskState.RUNNING:
         return True
     load = pool.load_of(task)
@@ -79,7 +80,7 @@
 
 
 def has_free_worker(pool: PoolState, task: Task, now: float) -> bool:
-    """Tell whether another worker has room for a task, so that a stop leads somewhere."""
+    """Whether another worker has free capacity for a task, so that it can move there."""
     return any(
         load.can_take(task.group, now)
         for load in pool.loads.values()
--- a/pumicespur/jobs/_describe.py
+++ b/pumicespur/jobs/_describe.py
@@ -1,4 +1,4 @@
-"""What operators are told of a job."""
+"""Descriptions of jobs for operators."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 def explain_failure(failure: FailureRecord) -> str:
-    """Tell in words why a job failed."""
+    """Return in words why a job failed."""
     if failure.lost_workers:
         return f"task {failure.task} brought down {len(failure.lost_workers)} workers"
     return f"task {failure.task} failed {failure.attempts} times"
 
 
 def _names(workers: Iterable[str]) -> list[WorkerName]:
-    """Return workers by the names under which operators find them."""
+    """Return the names of workers, under which operators find them."""
     return [worker_name(WorkerId(worker)) for worker in workers]
 
 
 def describe_progress(name: str, pool: PoolId, progress: ProgressRecord) -> dict[str, object]:
-    """Return a job's recorded state, for JSON; workers brought down by its tasks are named."""
+    """Return a job's recorded state for JSON, with the workers that its tasks crashed."""
     failure = progress.failure
     described: dict[str, object] = {
         "job": name,
--- a/pumicespur/jobs/_estimates.py
+++ b/pumicespur/jobs/_estimates.py
@@ -38,12 +38,12 @@
         """Add a completed task to the regression."""
         x = math.log(max(MIN_DURATION_MS, declared_ms))
         y = math.log(max(MIN_DURATION_MS, actual_ms))
-        kept = 1.0 - 1.0 / DECAY_TASKS
-        self.weight = self.weight * kept + 1.0
-        self.sum_declared = self.sum_declared * kept + x
-        self.sum_actual = self.sum_actual * kept + y
-        self.sum_declared_squared = self.sum_declared_squared * kept + x * x
-        self.sum_product = self.sum_product * kept + x * y
+        decay = 1.0 - 1.0 / DECAY_TASKS
+        self.weight = self.weight * decay + 1.0
+        self.sum_declared = self.sum_declared * decay + x
+        self.sum_actual = self.sum_actual * decay + y
+        self.sum_declared_squared = self.sum_declared_squared * decay + x * x
+        self.sum_product = self.sum_product * decay + x * y
 
     def corrected_ms(self, declared_ms: float) -> float:
         """Return the expected duration of a task, in milliseconds."""
--- a/pumicespur/jobs/_job.py
+++ b/pumicespur/jobs/_job.py
@@ -200,7 +200,7 @@
     """Its tasks need admission tickets of the advice service."""
     phase: JobPhase = JobPhase.QUEUED
     failure: FailureRecord | None = None
-    begun: bool = False
+    has_started: bool = False
     groups: list[StepGroup] = field(default_factory=list)
     tasks: list[Task] = field(default_factory=list)
     by_name: dict[TaskName, Task] = field(default_factory=dict)
@@ -281,21 +281,21 @@
         for task in self.tasks:
             if done >> task.index & 1:
                 self.finish_task(task)
-        for kept in progress.tasks:
-            task = self.tasks[kept.index]
-            task.run = kept.run
-            task.failures = kept.failures
+        for saved in progress.tasks:
+            task = self.tasks[saved.index]
+            task.run = saved.run
+            task.failures = saved.failures
             task.losses = [
                 WorkerLoss(WorkerId(loss.worker), InstanceId(loss.instance), loss.alone)
-                for loss in kept.losses
+                for loss in saved.losses
             ]
-            task.checkpoint = kept.checkpoint
-            if task.spec.gang and kept.checkpoint:
-                task.group.gang_checkpoint = kept.checkpoint
-            if kept.worker and task.state is not TaskState.DONE:
-                task.worker = WorkerId(kept.worker)
+            task.checkpoint = saved.checkpoint
+            if task.spec.gang and saved.checkpoint:
+                task.group.gang_checkpoint = saved.checkpoint
+            if saved.worker and task.state is not TaskState.DONE:
+                task.worker = WorkerId(saved.worker)
                 task.state = TaskState.STARTING
-        self.begun = bool(done or progress.tasks)
+        self.has_started = bool(done or progress.tasks)
 
 
 def _task_record(task: Task) -> TaskRecord:
--- a/pumicespur/jobs/_placement.py
+++ b/pumicespur/jobs/_placement.py
@@ -100,7 +100,7 @@
         """Return the workers that can be given a task."""
         group = task.group
         spec = group.spec
-        found = [
+        eligible = [
             load
             for load in self.available
             if load.fits(spec)
@@ -108,8 +108,8 @@
             and quarantine_allows(load, task, self.now)
         ]
         if group.job.advised:
-            return [load for load in found if group.ticket(load.worker.id, self.now)]
-        return found
+            return [load for load in eligible if group.ticket(load.worker.id, self.now)]
+        return eligible
 
     def note_assigned(self, load: WorkerLoad) -> None:
         """Remove a worker once nothing more fits on it."""
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -130,18 +130,18 @@
     def adopt_inherited(self, load: WorkerLoad) -> None:
         """Drop the inherited runs that are now counted as tasks of their worker."""
         counted = {(task.name, task.run) for task in load.tasks}
-        left = [run.key for run in self.inherited.get(load.worker.id, ())]
-        self.resolve_inherited(load.worker.id, {key for key in left if key not in counted})
+        keys = [run.key for run in self.inherited.get(load.worker.id, ())]
+        self.resolve_inherited(load.worker.id, {key for key in keys if key not in counted})
 
     def resolve_inherited(self, worker: WorkerId, keep: Container[RunKey] = ()) -> None:
         """Stop counting a worker's inherited runs, except for those in `keep`, which still run."""
-        left = self.inherited.pop(worker, [])
-        still = [run for run in left if run.key in keep]
-        for run in left:
-            if run not in still:
+        runs = self.inherited.pop(worker, [])
+        remaining = [run for run in runs if run.key in keep]
+        for run in runs:
+            if run not in remaining:
                 self.limits.usage.add(run.account, run.record, -1)
-        if still:
-            self.inherited[worker] = still
+        if remaining:
+            self.inherited[worker] = remaining
 
     def cancel(self, job: Job) -> None:
         """Cancel a job at its caller's request."""
@@ -225,14 +225,14 @@
 
     def assigned_tasks(self) -> dict[WorkerName, list[Task]]:
         """Return the tasks of unfinished jobs by the worker that they were last assigned to."""
-        found: dict[WorkerName, list[Task]] = {}
+        assigned: dict[WorkerName, list[Task]] = {}
         for job in self.jobs.values():
             if job.ended:
                 continue
             for task in job.tasks:
                 if task.worker:
-                    found.setdefault(worker_name(task.worker), []).append(task)
-        return found
+                    assigned.setdefault(worker_name(task.worker), []).append(task)
+        return assigned
 
     def lost_workers(self) -> set[WorkerId]:
         """Return the workers whose loss is attributed to any task."""
@@ -253,7 +253,7 @@
             self._fail_job(task, [loss.worker for loss in task.losses])
 
     def retract_losses(self, load: WorkerLoad) -> None:
-        """Remove the loss of a worker that answers again from all tasks."""
+        """Remove the loss of a worker that responds again from all tasks."""
         tasks = (task for job in self.jobs.values() if not job.ended for task in job.tasks)
         self.dirty.update(task.job for task in retract_worker_loss(tasks, load.worker.id))
 
@@ -346,7 +346,7 @@
 
     def waiting_by_route(self) -> Counter[RouteName]:
         """Count the jobs without any started task, by route."""
-        return Counter(j.route for j in self.jobs.values() if not j.begun and not j.ended)
+        return Counter(j.route for j in self.jobs.values() if not j.has_started and not j.ended)
 
     def fits_anywhere(self, spec: StepRecord) -> bool:
         """Whether an empty worker could fit a task; true while no worker is known."""
--- a/pumicespur/jobs/_service.py
+++ b/pumicespur/jobs/_service.py
@@ -1,4 +1,4 @@
-"""What callers ask of jobs: submit, state, cancel, and how many wait."""
+"""Callers' requests about jobs: submit, state and cancel."""
 
 from __future__ import annotations
 
@@ -27,30 +27,30 @@
 log = Logger(__name__)
 
 RETRY_DELAY_S = 0.03
-"""First pause before a call to the store is repeated; some of its usual answers."""
+"""First retry delay of a call to the store; a few of its usual response times."""
 
 MAX_RETRY_DELAY_S = 0.4
-"""Longest such pause."""
+"""Longest such delay."""
 
 
 class JobService:
-    """Answers callers from the store, so that it needs no owner to be at work."""
+    """Serves callers' requests from the store, without the pool's owner."""
 
     def __init__(
         self, table: PlatformTable, other_pools: Callable[[Route, bool], list[PoolId]]
     ) -> None:
         self.table = table
         self.other_pools = other_pools
-        """Pools beside a route's own in which its jobs may be: all, or (true) its earlier ones."""
+        """Other pools that may have jobs of a route: all, or only its earlier ones if true."""
 
     async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
-        """Record a job; the same id recorded before counts as accepted.
+        """Record a job; an id that is recorded already counts as accepted.
 
-        `give_up_at` is the monotonic time by which the caller needs an response.
+        `give_up_at` is the monotonic time by which the caller needs a response.
         """
         with anyio.CancelScope(deadline=give_up_at):
             return await self._submit(route, record, give_up_at)
-        # The store may hold the call that was broken off.
+        # The store may still apply the call that was cancelled.
         return self._refuse(route, JobId(record.id), True, AnswerLost("no response in time"))
 
     async def _submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
@@ -64,7 +64,7 @@
                 return Submission.NOT_TAKEN
             if found.ok is not None:
                 return _resubmission_outcome(route, record, found.ok)
-        lost = False
+        may_be_recorded = False
         pause_s = RETRY_DELAY_S
         while True:
             response = await self.table.transact(transaction)
@@ -76,14 +76,14 @@
                     known = [JobRecord.from_binary(row.value) for row in rows if row.key == key]
                     return _resubmission_outcome(route, record, *known)
                 case Result(error=error):
-                    lost = lost or isinstance(error, AnswerLost)
+                    may_be_recorded = may_be_recorded or isinstance(error, AnswerLost)
                     if monotonic() + pause_s >= give_up_at:
-                        return self._refuse(route, job, lost, error)
+                        return self._refuse(route, job, may_be_recorded, error)
             await anyio.sleep(pause_s * random.uniform(0.5, 1.0))
             pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
 
-    def _refuse(self, route: Route, job: JobId, lost: bool, error: Fault) -> Submission:
-        outcome = Submission.UNKNOWN if lost else Submission.NOT_TAKEN
+    def _refuse(self, route: Route, job: JobId, may_be_recorded: bool, error: Fault) -> Submission:
+        outcome = Submission.UNKNOWN if may_be_recorded else Submission.NOT_TAKEN
         log.warning(
             "job refused",
             job=job,
@@ -97,7 +97,7 @@
     async def state(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
     ) -> Result[JobPhase | None, Fault]:
-        """Read how far a job is; None tells that there is no such job for the caller."""
+        """Read a job's phase; None if the caller has no such job."""
         with anyio.CancelScope(deadline=give_up_at):
             found = await self.find([route.pool, *self.other_pools(route, False)], job, give_up_at)
             return found.map(
@@ -112,7 +112,7 @@
     async def find(
         self, pools: Sequence[PoolId], job: JobId, give_up_at: float
     ) -> Result[tuple[PoolId, ProgressRecord] | None, Fault]:
-        """Look a job up in some pools; None if it is in none of them."""
+        """Find a job in some pools; None if it is in none of them."""
         for pool in pools:
             found = await self._find(pool, job, give_up_at)
             match found:
@@ -126,9 +126,9 @@
     async def _find(
         self, pool: PoolId, job: JobId, give_up_at: float
     ) -> Result[ProgressRecord | None, Fault]:
-        """Read how far a job of a pool is; one that has no progress yet is queued."""
+        """Read a job's progress in a pool; a job without progress is queued."""
         for _ in range(2):
-            # A job that ends between the two reads has its progress row at the second try.
+            # A job that ends between the two reads has a progress row at the second attempt.
             progress = await self._read(progress_key(pool, job), give_up_at)
             match progress:
                 case Result(tag="ok", ok=row) if row.version:
@@ -151,7 +151,7 @@
     async def cancel(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
     ) -> Cancellation:
-        """Record that a job is not wanted any more; its owner stops it."""
+        """Record that a job is cancelled; the pool's owner stops it."""
         with anyio.CancelScope(deadline=give_up_at):
             return await self._cancel(route, caller, job, give_up_at)
         return Cancellation.UNKNOWN
@@ -197,7 +197,7 @@
     async def _cancel_missing(
         self, pool: PoolId, route: Route, caller: AccountId, job: JobId, give_up_at: float
     ) -> Cancellation:
-        """Answer for a job without its own row: it has ended or never was."""
+        """Determine the outcome for a job that has no unfinished submission row."""
         found = await self._read(progress_key(pool, job), give_up_at)
         match found:
             case Result(tag="ok", ok=row) if row.version:
@@ -229,7 +229,7 @@
 def _resubmission_outcome(
     route: Route, record: JobRecord, *known: JobRecord | ProgressRecord
 ) -> Submission:
-    """Answer for an id that is recorded already: the same job again, if it is the caller's."""
+    """Return the outcome for an id that is recorded already: accepted if the job is the caller's."""
     caller = AccountId(record.account)
     if not all(is_visible_to(caller, route, job) for job in known):
         log.warning("job refused", job=record.id, route=route.name, reason="id of another account")
--- a/pumicespur/jobs/_session_owner.py
+++ b/pumicespur/jobs/_session_owner.py
@@ -1,4 +1,4 @@
-"""What the dealings with one worker need of the pool's owner."""
+"""The interface of a pool's owner that worker sessions use."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SessionOwner(Protocol):
-    """The owner of a pool, as its workers' tasks see it."""
+    """The owner of a pool, as its worker sessions see it."""
 
     settings: NodeSettings
     pool: PoolState
@@ -24,31 +24,31 @@
     token: int
 
     def known_state(self) -> KnownState:
-        """Return what is known at present of what orders rest on."""
+        """Return the current versions and ages of the tables that orders depend on."""
 
     def may_renew_leases(self, now: float) -> bool:
-        """Whether leases may still be extended."""
+        """Whether leases may be renewed."""
 
     def wake(self) -> None:
-        """Ask for a round."""
+        """Request a round."""
 
     def spawn(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
-        """Run something beside the rounds."""
+        """Run a coroutine concurrently with the rounds."""
 
     def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
-        """Take in the end of a run."""
+        """Process the end of a run."""
 
     def stop_gang(self, group: StepGroup, run: int) -> None:
-        """Stop the members of a gang, one of which did not start."""
+        """Stop the other members of a gang after one did not start."""
 
     def note_restart(self, worker: WorkerId, *, leased: bool) -> None:
-        """Note that a life is over although the store may still list it.
+        """Note that an incarnation has ended, even if the store still lists it.
 
-        `leased` tells that a deadline meant for it may have reached the next one.
+        `leased` tells that a deadline meant for it may have reached the next incarnation.
         """
 
     def note_revoked(self, worker: WorkerId, run: RunKey) -> None:
-        """Note that a worker was told to refuse a run whose start may still be done late."""
+        """Note that a run was revoked whose start order may still be executed late."""
 
     def forget(self, worker: WorkerId) -> None:
-        """Drop a worker whose life is over."""
+        """Drop the session of an ended incarnation."""
--- a/pumicespur/jobs/_submission_follower.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -144,10 +144,10 @@
         table = submissions_table(pool)
         while True:
             asked_at = monotonic()
-            max_useful_s = max(0.0, self.max_age_s - self.watch_s)
-            timeout_s = min(self.table.times.patience_s(asked_at), max_useful_s)
+            max_timeout_s = max(0.0, self.max_age_s - self.watch_s)
+            timeout_s = min(self.table.times.patience_s(asked_at), max_timeout_s)
             response = await self.table.changes(
-                table, self.reading.version, self.watch_s, patience_s
+                table, self.reading.version, self.watch_s, timeout_s
             )
             match response:
                 case Result(tag="ok", ok=page):
@@ -158,7 +158,11 @@
                     log.warning("submissions read in full", pool=pool, reason="history gone")
                     rows = await self._read_all()
                 case Result(error=AnswerLost()) if self.table.answers():
-                    log.info("submissions read in full", pool=pool, reason="no response to a request for changes")
+                    log.info(
+                        "submissions read in full",
+                        pool=pool,
+                        reason="changes not received",
+                    )
                     rows = await self._read_all()
                 case Result(error=error):
                     log.warning("submissions not followed", pool=pool, reason=str(error))
--- a/pumicespur/jobs/_throttle.py
+++ b/pumicespur/jobs/_throttle.py
@@ -14,7 +14,7 @@
 
 FULL_SPEED_PERCENT = 100
 REDUCED_SPEED_PERCENT = 30
-"""First share, in percent, to which best-effort tasks are throttled; the next step is a standstill."""
+"""First speed to which best-effort tasks are throttled; the next step is a standstill."""
 
 THROTTLE_ABOVE_RATIO = 0.85
 """Share of a latency objective above which best-effort tasks are throttled."""
--- a/pumicespur/jobs/_worker_load.py
+++ b/pumicespur/jobs/_worker_load.py
@@ -97,15 +97,15 @@
         """Return the worker's instance, or its own id if it reports none."""
         return self.worker.instance or InstanceId(self.worker.id)
 
-    def update_evacuation(self, wanted: bool | None, now: float) -> bool:
+    def update_evacuation(self, requested: bool | None, now: float) -> bool:
         """Apply the fleet leader's request, None if it has none fresh; return whether that changes.
 
         Without a fresh request, a reported evacuation stays in force for a while, because the
         leader may still act on that report.
         """
-        self.evacuation_requested = bool(wanted)
-        kept = wanted is None and now - self.evacuation_reported_at < REPORT_VALIDITY_S
-        evacuating = self.evacuation_requested or (self.evacuating and kept)
+        self.evacuation_requested = bool(requested)
+        still_valid = requested is None and now - self.evacuation_reported_at < REPORT_VALIDITY_S
+        evacuating = self.evacuation_requested or (self.evacuating and still_valid)
         changed = evacuating != self.evacuating
         self.evacuating = evacuating
         return changed
@@ -118,8 +118,8 @@
     def accepts_tasks(self, now: float) -> bool:
         """Whether the worker can be given tasks now."""
         ready = self.listed and self.worker.state is WorkerState.READY
-        answers = self.reachable and not self.has_unknown_runs
-        return ready and answers and not self.evacuating and now >= self.paused_until
+        usable = self.reachable and not self.has_unknown_runs
+        return ready and usable and not self.evacuating and now >= self.paused_until
 
     def is_overcommitted(self) -> bool:
         """Whether the load exceeds the capacity, which may have shrunk since assignments."""
--- a/pumicespur/jobs/_worker_starts.py
+++ b/pumicespur/jobs/_worker_starts.py
@@ -185,7 +185,7 @@
         task.state = TaskState.RUNNING
         task.started_at = started_at
         task.progressed_at = task.first_seen_at = monotonic()
-        task.job.begun = True
+        task.job.has_started = True
         if task.spec.long_running and task.unavailable_since is None:
             task.unavailable_since = task.progressed_at
         start = self.unresolved.pop(task, None)
