--- a/pumicespur/jobs/_access.py
+++ b/pumicespur/jobs/_access.py
@@ -1,7 +1,7 @@
 """Which callers can see a job.
 
-A job is invisible to other accounts: queries and cancellations get the response for an unused id, so
-that no caller learns whose jobs are served or when. Only a submission under an id of another
+A job is invisible to other accounts: queries and cancellations get the response for an unused id,
+so that no caller learns whose jobs are served or when. Only a submission under an id of another
 account is refused openly, since one of the two jobs would be lost otherwise.
 """
 
--- a/pumicespur/jobs/_advice_client.py
+++ b/pumicespur/jobs/_advice_client.py
@@ -64,7 +64,7 @@
         response = await self.orders.advise(group.name, workers)
         match response:
             case Result(tag="ok", ok=(tickets, valid_s)):
-                # The validity is counted from the request, so that no ticket is used after it expires.
+                # Validity counts from the request, so that no ticket is used after it expires.
                 group.tickets = {
                     worker: (ticket, requested_at + valid_s) for worker, ticket in tickets.items()
                 }
--- a/pumicespur/jobs/_crash_attribution.py
+++ b/pumicespur/jobs/_crash_attribution.py
@@ -37,8 +37,8 @@
 """Longest long poll of a worker that is reserved for quarantine; half of `PROVEN_AFTER_S`."""
 
 QUARANTINE_MIN_LOSSES = 2
-"""Worker losses after which a task is quarantined. After the first loss many tasks are suspected and
-mostly none is the cause, so that quarantine would only keep workers idle."""
+"""Worker losses after which a task is quarantined. After the first loss many tasks are suspected
+and mostly none is the cause, so that quarantine would only keep workers idle."""
 
 MAX_QUARANTINE_WAIT_S = 1.5
 """Longest wait of a suspected task for a reserved worker; then it is placed like any other, spread
@@ -114,7 +114,7 @@
         task.quarantine_requested_at = (
             now if task.quarantine_requested_at is None else task.quarantine_requested_at
         )
-    available = [load for load in loads if load.accepts_tasks(now)]
+    available = [load for load in loads if load.can_accept_tasks(now)]
     slots = max(1, int(MAX_QUARANTINE_RATIO * len(available)))
     slots -= sum(1 for load in available if _has_quarantined_task(load))
     for task in waiting:
--- a/pumicespur/jobs/_demand.py
+++ b/pumicespur/jobs/_demand.py
@@ -96,7 +96,7 @@
     means: deque[tuple[float, Demand]] = field(default_factory=deque)
     """Means over `AVERAGING_S`, in the same form."""
 
-    def note(self, now: float, demand: Demand) -> None:
+    def add_sample(self, now: float, demand: Demand) -> None:
         """Add a sample."""
         self.samples.append((now, demand))
         while now - self.samples[0][0] > AVERAGING_S:
@@ -154,7 +154,7 @@
     samples: deque[ArrivalSample] = field(default_factory=deque)
     """Measurements of the last seconds, oldest first."""
 
-    def note(self, job: Job, estimates: DurationEstimates) -> None:
+    def add_job(self, job: Job, estimates: DurationEstimates) -> None:
         """Add a job; long-running and scheduled work is left out, since it causes no load peaks."""
         if job.record.repeats:
             return
@@ -224,7 +224,7 @@
         return fitting
 
 
-def current_demand(pool: PoolState, now_ms: float) -> PoolDemand:
+def measure_demand(pool: PoolState, now_ms: float) -> PoolDemand:
     """Return the demand of running tasks and of those that are ready to start."""
     short = DemandSum()
     long_running = DemandSum()
@@ -252,7 +252,7 @@
     return PoolDemand(short.total(), long_running.total(), waiting.total(), overdue.total())
 
 
-def required_workers(
+def count_required_workers(
     pool: PoolState, short: Demand, long_running: Demand, capacity: Capacity
 ) -> int:
     """Return how many workers of a capacity the demand of a pool requires."""
--- a/pumicespur/jobs/_estimates.py
+++ b/pumicespur/jobs/_estimates.py
@@ -34,7 +34,7 @@
     sum_product: float = 0.0
     """Weighted sums over the tasks so far, of logarithms."""
 
-    def note(self, declared_ms: float, actual_ms: float) -> None:
+    def add_task(self, declared_ms: float, actual_ms: float) -> None:
         """Add a completed task to the regression."""
         x = math.log(max(MIN_DURATION_MS, declared_ms))
         y = math.log(max(MIN_DURATION_MS, actual_ms))
@@ -67,9 +67,9 @@
     def __init__(self) -> None:
         self.routes: defaultdict[RouteName, RouteEstimator] = defaultdict(RouteEstimator)
 
-    def note(self, route: RouteName, declared_ms: float, actual_ms: float) -> None:
+    def add_task(self, route: RouteName, declared_ms: float, actual_ms: float) -> None:
         """Add a completed task of a route."""
-        self.routes[route].note(declared_ms, actual_ms)
+        self.routes[route].add_task(declared_ms, actual_ms)
 
     def corrected_ms(self, route: RouteName, declared_ms: float) -> float:
         """Return the expected duration of a task of a route, in milliseconds."""
--- a/pumicespur/jobs/_fair_share.py
+++ b/pumicespur/jobs/_fair_share.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self.due_ms: dict[AccountId, float] = {}
 
-    def exceeds_share(self, account: AccountId, weight: float, accepted_ms: int) -> bool:
+    def note_job(self, account: AccountId, weight: float, accepted_ms: int) -> bool:
         """Count a job; return whether it is beyond its account's share.
 
         Jobs without an account or a weight never are.
--- a/pumicespur/jobs/_journal.py
+++ b/pumicespur/jobs/_journal.py
@@ -85,8 +85,8 @@
         """Write rows as the pool's owner; return only when they are known to be recorded.
 
         A commit without a response may still apply later, so it is retried unchanged. It replaces a
-        row whose version is one of its conditions, so it can apply only once. If a retry is refused,
-        that row shows whether the commit was applied.
+        row whose version is one of its conditions, so it can apply only once. If a retry is
+        refused, that row shows whether the commit was applied.
 
         Raises OwnershipLostError if the pool has a new owner.
         """
--- a/pumicespur/jobs/_keys.py
+++ b/pumicespur/jobs/_keys.py
@@ -17,10 +17,10 @@
 
 OWNERS_TABLE = "owners"
 
-SUBMISSION_PARTS = 32
-"""Partitions of a pool's submissions. The store applies the writes of one partition in sequence; at a
-sixtieth of its usual speed that is three a second, so that 32 partitions handle a peak of 30 jobs a
-second with its retries. A new owner reads every partition."""
+SUBMISSION_PARTITIONS = 32
+"""Partitions of a pool's submissions. The store applies the writes of one partition in sequence; at
+a sixtieth of its usual speed that is three a second, so that 32 partitions handle a peak of 30 jobs
+a second with its retries. A new owner reads every partition."""
 
 
 def submissions_table(pool: PoolId) -> str:
@@ -28,15 +28,15 @@
     return f"jobs-{pool}"
 
 
-def submission_parts(pool: PoolId) -> list[str]:
+def submission_partitions(pool: PoolId) -> list[str]:
     """Return the partitions of a pool's submissions."""
-    return [f"{pool}.{number}" for number in range(SUBMISSION_PARTS)]
+    return [f"{pool}.{number}" for number in range(SUBMISSION_PARTITIONS)]
 
 
 def submission_key(pool: PoolId, job: JobId) -> str:
     """Return the row of a job's submission; it is reduced when the job has ended."""
-    part = zlib.crc32(job.encode()) % SUBMISSION_PARTS
-    return f"{submissions_table(pool)}/{pool}.{part}/{job}"
+    partition = zlib.crc32(job.encode()) % SUBMISSION_PARTITIONS
+    return f"{submissions_table(pool)}/{pool}.{partition}/{job}"
 
 
 def progress_key(pool: PoolId, job: JobId) -> str:
--- a/pumicespur/jobs/_ledger.py
+++ b/pumicespur/jobs/_ledger.py
@@ -27,7 +27,7 @@
 pool with the new configuration, without dividing the limit again."""
 
 
-def founding_allotment(pool: PoolId, founders: Sequence[PoolId]) -> int:
+def compute_founding_allotment(pool: PoolId, founders: Sequence[PoolId]) -> int:
     """Return a pool's initial allotment of every account's limit, before any transfer."""
     if pool not in founders:
         return 0
--- a/pumicespur/jobs/_limit_transfers.py
+++ b/pumicespur/jobs/_limit_transfers.py
@@ -47,7 +47,7 @@
     pool: PoolId
 
 
-def transfer_rank(pool: PoolId, used: int, needed: int, used_elsewhere: int) -> TransferRank:
+def compute_rank(pool: PoolId, used: int, needed: int, used_elsewhere: int) -> TransferRank:
     """Return a pool's rank from the need of its next task and the usage of all other pools."""
     return TransferRank(needed + used_elsewhere > WHOLE_LIMIT, used, pool)
 
@@ -116,11 +116,11 @@
         amount=report.lacking - in_transit,
         held=held,
         short=report.needed - held,
-        rank=transfer_rank(peer.pool, report.used, report.needed, all_used - report.used),
+        rank=compute_rank(peer.pool, report.used, report.needed, all_used - report.used),
     )
 
 
-def transfer_due(
+def compute_due_amount(
     allotment: Allotment, request: TransferRequest, rank: TransferRank, used: int, now: float
 ) -> int:
     """Return the amount due to a requesting pool, now or as runs end in this one.
--- a/pumicespur/jobs/_limits.py
+++ b/pumicespur/jobs/_limits.py
@@ -10,13 +10,13 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.jobs._account_usage import AccountUsage, ResourceUsage
-from pumicespur.jobs._ledger import WHOLE_LIMIT, Ledger, founding_allotment
+from pumicespur.jobs._ledger import WHOLE_LIMIT, Ledger, compute_founding_allotment
 from pumicespur.jobs._limit_transfers import (
     Allotment,
     PeerAllotment,
+    compute_due_amount,
+    compute_rank,
     make_transfer_request,
-    transfer_due,
-    transfer_rank,
 )
 from pumicespur.model import AccountId, Capacity, PoolId
 from pumicespur.schema.jobs_pb import PartReport, PartTransfer
@@ -93,7 +93,9 @@
         allotment = self.allotments.get(account)
         if allotment is None:
             founding = (
-                founding_allotment(self.pool, self.founders) if self.founders else WHOLE_LIMIT
+                compute_founding_allotment(self.pool, self.founders)
+                if self.founders
+                else WHOLE_LIMIT
             )
             allotment = self.allotments[account] = Allotment(Ledger(account, founding))
         return allotment
@@ -186,13 +188,13 @@
         used = self.usage.of(account).share_of(self.limit_of(account))
         allotment.used_elsewhere = sum(peer.report.used for peer in peers)
         all_used = used + allotment.used_elsewhere
-        rank = transfer_rank(self.pool, used, allotment.needed, allotment.used_elsewhere)
+        rank = compute_rank(self.pool, used, allotment.needed, allotment.used_elsewhere)
         short_peers = [peer for peer in peers if peer.report.lacking > 0]
         for peer in sorted(short_peers, key=lambda peer: (peer.report.held, peer.pool)):
             request = make_transfer_request(allotment, self.pool, peer, all_used)
             if request.amount <= 0:
                 continue
-            due = transfer_due(allotment, request, rank, used, now)
+            due = compute_due_amount(allotment, request, rank, used, now)
             amount = min(due, max(0, allotment.available - used))
             allotment.withheld += due - amount
             if amount >= min(request.amount, MIN_TRANSFER) or amount >= request.short > 0:
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -93,7 +93,7 @@
         orders: WorkerOrders,
         ownership: Ownership,
         earlier_leases: EarlierLeases,
-        request_heartbeat: Callable[[], None],
+        request_report: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.view = view
@@ -106,13 +106,13 @@
         self.journal = Journal(table, ownership)
         self.watches: dict[WorkerId, WorkerSession] = {}
         self.restarts = Restarts(settings.workers, earlier_leases)
-        self.request_heartbeat = request_heartbeat
-        """Requests an immediate heartbeat."""
-        self.size = PoolSizer(self.pool, request_heartbeat)
+        self.request_report = request_report
+        """Requests an immediate report to the other processes."""
+        self.size = PoolSizer(self.pool, request_report)
         self.submissions = SubmissionFollower(
             self.pool, table, view, settings, self.wake, self.size.note_arrival
         )
-        self.parts = AllotmentExchange(self.pool.limits, table, view, request_heartbeat)
+        self.parts = AllotmentExchange(self.pool.limits, table, view, request_report)
         self.start_block_reason = ""
         """Why tasks are not placed at present; empty if they are."""
         self.stopping = False
@@ -420,7 +420,7 @@
             if load.evacuating and not load.tasks and load.reported_tasks:
                 has_news = True
         if has_news:
-            self.request_heartbeat()
+            self.request_report()
 
     def _collect(self) -> Batch:
         """Collect changes for a commit; acknowledge ends only if it includes every change."""
--- a/pumicespur/jobs/_placement.py
+++ b/pumicespur/jobs/_placement.py
@@ -85,7 +85,7 @@
         self.min_cpu_millis = min((0 if s.fills else s.cpu_millis for s in specs), default=0)
         self.min_memory_mb = min((spec.memory_mb for spec in specs), default=0)
         self.available = [
-            load for load in loads if load.accepts_tasks(now) and self._has_free_capacity(load)
+            load for load in loads if load.can_accept_tasks(now) and self._has_free_capacity(load)
         ]
 
     def _has_free_capacity(self, load: WorkerLoad) -> bool:
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -114,7 +114,7 @@
                 self.add_inherited_run(job.account, run)
         account = configuration.accounts.get(job.account)
         if account is not None:
-            job.exceeds_share = self.fair_share.exceeds_share(
+            job.exceeds_share = self.fair_share.note_job(
                 job.account, account.weight, record.accepted_ms
             )
         self.jobs[job.id] = job
@@ -291,7 +291,7 @@
         if end.how is RunEnd.DONE:
             if newest and task.state is TaskState.RUNNING and task.started_at:
                 actual_ms = (now - task.started_at) * 1000
-                self.estimates.note(task.job.route, task.spec.estimated_ms, actual_ms)
+                self.estimates.add_task(task.job.route, task.spec.estimated_ms, actual_ms)
             self._finish(task, worker)
         elif newest:
             self._fail(task, end)
--- a/pumicespur/jobs/_pool_sizing.py
+++ b/pumicespur/jobs/_pool_sizing.py
@@ -11,8 +11,8 @@
     Demand,
     DemandTracker,
     PoolDemand,
-    current_demand,
-    required_workers,
+    count_required_workers,
+    measure_demand,
 )
 from pumicespur.utils import now_ms
 
@@ -45,8 +45,8 @@
 
     def update(self, now: float) -> None:
         """Measure the pool's demand; request a report at once if it needs more busy workers."""
-        self.current = current_demand(self.pool, now_ms())
-        self.demand.note(now, self.current.short)
+        self.current = measure_demand(self.pool, now_ms())
+        self.demand.add_sample(now, self.current.short)
         if now - self.load_logged_at >= LOAD_LOG_INTERVAL_S:
             self.load_logged_at = now
             self._log_load(now)
@@ -62,7 +62,7 @@
         that no other pool requests. Counted like other work, it kept 116 of 180 instances in its
         pool during the start of the next pool's load peak, which had 24 for 7 s.
         """
-        demand = current_demand(self.pool, now_ms())
+        demand = measure_demand(self.pool, now_ms())
         report.busy_workers = self._busy_workers(demand.waiting)
         all_waiting = Demand(
             demand.waiting.cpu_millis + demand.overdue.cpu_millis,
@@ -85,7 +85,7 @@
         if not job.exceeds_share and all(
             self.pool.fits_anywhere(spec) for spec in job.record.steps
         ):
-            self.arrivals.note(job, self.pool.estimates)
+            self.arrivals.add_job(job, self.pool.estimates)
 
     def _busy_workers(self, waiting: Demand) -> int:
         """Return how many workers the arriving and the waiting work requires.
@@ -108,7 +108,7 @@
             return 0
         capacities = [load.worker.capacity for load in self.pool.loads.values()]
         capacities.sort(key=lambda capacity: capacity.cpu_millis)
-        return required_workers(
+        return count_required_workers(
             self.pool, short, self.current.long_running, capacities[len(capacities) // 2]
         )
 
@@ -121,7 +121,7 @@
             "pool load",
             pool=self.pool.pool,
             workers=len(self.pool.loads),
-            open_workers=sum(1 for load in self.pool.loads.values() if load.accepts_tasks(now)),
+            open_workers=sum(1 for load in self.pool.loads.values() if load.can_accept_tasks(now)),
             wanted_workers=self._workers_for(self.demand.forecast()),
             busy_workers=self.reported_workers,
             arriving_cpu_millis=self.arrivals.cpu_millis(now_ms()),
--- a/pumicespur/jobs/_restarts.py
+++ b/pumicespur/jobs/_restarts.py
@@ -45,7 +45,7 @@
             del revoked[old]
 
     def revoked_runs(self, worker: Worker, now: float) -> list[RunKey]:
-        """Return the runs to revoke again on a worker's next incarnation, which lost the revocation."""
+        """Return the runs to revoke again on a worker's next incarnation."""
         revoked = self.revoked.get(worker.name, {})
         return [run for run, at in revoked.items() if now - at <= MAX_ORDER_DELAY_S]
 
@@ -84,7 +84,7 @@
         return now_ms() - born_ms < (self._max_lease_s() + MAX_CLOCK_DIFFERENCE_S) * 1000
 
     def _max_lease_s(self) -> float:
-        """Return how long a worker runs at most after an order, in seconds of this process's clock."""
+        """Return how long a worker runs at most after an order, in seconds on the local clock."""
         return self.settings.longest_lease_ms / 1000 / (1 - self.settings.clock_drift)
 
     def take_expired(self, now: float) -> set[WorkerId]:
--- a/pumicespur/jobs/_service.py
+++ b/pumicespur/jobs/_service.py
@@ -229,7 +229,7 @@
 def _resubmission_outcome(
     route: Route, record: JobRecord, *known: JobRecord | ProgressRecord
 ) -> Submission:
-    """Return the outcome for an id that is recorded already: accepted if the job is the caller's."""
+    """Return the outcome for an id that is recorded already: accepted if it is the caller's."""
     caller = AccountId(record.account)
     if not all(is_visible_to(caller, route, job) for job in known):
         log.warning("job refused", job=record.id, route=route.name, reason="id of another account")
--- a/pumicespur/jobs/_submission_cleanup.py
+++ b/pumicespur/jobs/_submission_cleanup.py
@@ -43,8 +43,8 @@
         self.removing: set[JobId] = set()
         """Jobs to delete, until the owner deletes their progress rows too."""
         self.removed: list[JobId] = []
-        """Jobs to delete whose submission row is confirmed as deleted. Only then may the progress row
-        be deleted, which alone shows a successor that the job has ended."""
+        """Jobs to delete whose submission row is known to be deleted. Only then may the progress
+        row be deleted, which alone shows a successor that the job has ended."""
 
     def compact(self, job: JobId, route: RouteName, account: AccountId) -> None:
         """Reduce the submission row of a job whose end is recorded; its id stays in use.
@@ -76,14 +76,16 @@
 
     async def clean_up(self) -> None:
         """Write the pending rows; unconfirmed ones stay for the next cleanup."""
-        parts: defaultdict[str, list[tuple[JobId, Write]]] = defaultdict(list)
+        partitions: defaultdict[str, list[tuple[JobId, Write]]] = defaultdict(list)
         for job, write in self.pending.items():
-            parts[write.key.rpartition("/")[0]].append((job, write))
-        for part, entries in parts.items():
+            partitions[write.key.rpartition("/")[0]].append((job, write))
+        for partition, entries in partitions.items():
             chosen = entries[:MAX_ROWS_PER_CALL]
             response = await self.table.transact(Transaction([], [write for _, write in chosen]))
             if response.is_error():
-                log.info("submissions not cleaned up", part=part, reason=str(response.error))
+                log.info(
+                    "submissions not cleaned up", partition=partition, reason=str(response.error)
+                )
                 return
             for job, write in chosen:
                 self._confirm(job, write)
--- a/pumicespur/jobs/_submission_follower.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -10,7 +10,7 @@
 from logbook import Logger
 
 from pumicespur.jobs._job import ENDED_PHASES
-from pumicespur.jobs._keys import submission_parts, submissions_table
+from pumicespur.jobs._keys import submission_partitions, submissions_table
 from pumicespur.jobs._known_state import submissions_max_age_s
 from pumicespur.jobs._submission_cleanup import SubmissionCleanup
 from pumicespur.model import AccountId, JobId, RouteName
@@ -87,13 +87,15 @@
         pages: list[Page] = []
         asked_at = monotonic()
 
-        async def read(part: str) -> None:
-            scan = functools.partial(self.table.scan, submissions_table(pool), part, self.max_age_s)
+        async def read(partition: str) -> None:
+            scan = functools.partial(
+                self.table.scan, submissions_table(pool), partition, self.max_age_s
+            )
             pages.append(await self._retry(scan))
 
         async with anyio.create_task_group() as readers:
-            for part in submission_parts(pool):
-                readers.start_soon(read, part)
+            for partition in submission_partitions(pool):
+                readers.start_soon(read, partition)
         self.reading = Reading(min(page.version for page in pages), asked_at)
         return [row for page in pages for row in page.rows]
 
--- a/pumicespur/jobs/_worker_load.py
+++ b/pumicespur/jobs/_worker_load.py
@@ -115,7 +115,7 @@
         """Whether the worker is being evacuated or drained."""
         return self.evacuating or self.worker.state is WorkerState.DRAINING
 
-    def accepts_tasks(self, now: float) -> bool:
+    def can_accept_tasks(self, now: float) -> bool:
         """Whether the worker can be given tasks now."""
         ready = self.listed and self.worker.state is WorkerState.READY
         usable = self.reachable and not self.has_unknown_runs
@@ -156,7 +156,9 @@
 
     def can_take(self, group: StepGroup, now: float) -> bool:
         """Whether one more task of a step can be given to the worker now."""
-        return self.accepts_tasks(now) and self.fits(group.spec) and self.meets_constraints(group)
+        return (
+            self.can_accept_tasks(now) and self.fits(group.spec) and self.meets_constraints(group)
+        )
 
     def utilization(self) -> float:
         """Return the utilization of the worker's scarcest resource, processor or memory."""
--- a/pumicespur/jobs/_worker_starts.py
+++ b/pumicespur/jobs/_worker_starts.py
@@ -158,7 +158,7 @@
             return "not ordered"
         if self.load.is_overcommitted():
             return "the worker's room has shrunk"
-        if not self.load.accepts_tasks(now):
+        if not self.load.can_accept_tasks(now):
             return "the worker takes no more tasks"
         if not self.load.has_label(task.spec):
             return "the worker has another label"
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -19,11 +19,11 @@
     ArrivalTracker,
     Demand,
     DemandTracker,
-    current_demand,
+    measure_demand,
 )
 from pumicespur.jobs._estimates import PRIOR_WEIGHT, DurationEstimates, RouteEstimator
 from pumicespur.jobs._job import Job, Task, TaskState, compute_critical_paths_ms, make_job
-from pumicespur.jobs._keys import submission_parts
+from pumicespur.jobs._keys import submission_partitions
 from pumicespur.jobs._lease import EarlierLeases, WorkerLease
 from pumicespur.jobs._limits import PoolLimits
 from pumicespur.jobs._placement import assign, is_overdue, order_groups, place_groups
@@ -350,8 +350,8 @@
         load = WorkerLoad(make_worker("w-1"), reachable=True)
         for _ in range(MIN_EJECT_FAILURES):
             load.note_result(False, 0.0)
-        self.assertFalse(load.accepts_tasks(1.0))
-        self.assertTrue(load.accepts_tasks(2.1))
+        self.assertFalse(load.can_accept_tasks(1.0))
+        self.assertTrue(load.can_accept_tasks(2.1))
 
     def test_draining_evacuating_or_silent_worker_gets_nothing(self) -> None:
         pool = make_pool(make_worker("w-1"))
@@ -406,7 +406,7 @@
         route = RouteEstimator()
         for number in range(int(PRIOR_WEIGHT) * 40):
             declared = 100.0 * (1 + number % 7)
-            route.note(declared, declared * factor)
+            route.add_task(declared, declared * factor)
         corrected = route.corrected_ms(declared_ms)
         self.assertLess(abs(math.log(corrected / (declared_ms * factor))), 0.15)
 
@@ -414,7 +414,7 @@
         source = random.Random(1)
         route = RouteEstimator()
         for _ in range(400):
-            route.note(source.lognormvariate(7, 1), 1000.0)
+            route.add_task(source.lognormvariate(7, 1), 1000.0)
         self.assertLess(abs(route.corrected_ms(100.0) - 1000), 150)
         self.assertLess(abs(route.corrected_ms(10_000.0) - 1000), 150)
 
@@ -552,7 +552,7 @@
         with self.assertRaises(EOFError):
             await follower.follow()
         self.assertLessEqual(asked[0], 0.5)
-        self.assertEqual(sorted(submission_parts(PoolId("main"))), sorted(parts))
+        self.assertEqual(sorted(submission_partitions(PoolId("main"))), sorted(parts))
         self.assertEqual(7, follower.reading.version)
 
 
@@ -569,7 +569,7 @@
             record = make_record(step, job=f"{number:016x}", accepted_ms=100 * number)
             size.note_arrival(make_job(record, ROUTE, pool.estimates))
         report = PoolReport()
-        size.demand.note(0.0, Demand(80_000, 0))
+        size.demand.add_sample(0.0, Demand(80_000, 0))
         with patch("pumicespur.jobs._pool_sizing.now_ms", return_value=3000):
             size.update(0.0)
             size.fill_report(report)
@@ -597,8 +597,8 @@
         return report
 
     def test_is_separate_from_other_waiting_work(self) -> None:
-        self.assertEqual(160_000, current_demand(self.pool, 0.0).waiting.cpu_millis)
-        demand = current_demand(self.pool, 60_000.0)
+        self.assertEqual(160_000, measure_demand(self.pool, 0.0).waiting.cpu_millis)
+        demand = measure_demand(self.pool, 60_000.0)
         self.assertEqual(0, demand.waiting.cpu_millis)
         self.assertEqual(160_000, demand.overdue.cpu_millis)
 
@@ -618,13 +618,13 @@
     def test_steady_demand_is_forecast_unchanged(self) -> None:
         tracker = DemandTracker()
         for step in range(20):
-            tracker.note(step * 0.25, Demand(1000, 10))
+            tracker.add_sample(step * 0.25, Demand(1000, 10))
         self.assertEqual(Demand(1000, 10), tracker.forecast())
 
     def test_growth_is_forecast(self) -> None:
         tracker = DemandTracker()
         for step in range(20):
-            tracker.note(step * 0.25, Demand(step * 100, 0))
+            tracker.add_sample(step * 0.25, Demand(step * 100, 0))
         self.assertGreater(tracker.forecast().cpu_millis, 1900)
 
 
@@ -647,7 +647,7 @@
         for number in range(1000):
             self.cleanup.compact(JobId(f"job-{number}"), ROUTE.name, ANYONE)
         await self.cleanup.clean_up()
-        self.assertEqual(len(submission_parts(PoolId("main"))), len(self.calls))
+        self.assertEqual(len(submission_partitions(PoolId("main"))), len(self.calls))
         parts = {write.key.rpartition("/")[0] for write in self.calls[0].writes}
         self.assertEqual(1, len(parts))
         self.assertFalse(self.cleanup.pending)
@@ -696,7 +696,7 @@
         """Submit a job that keeps two cores busy for a second."""
         step = StepRecord(count=2, cpu_millis=1000, estimated_ms=1000, **fields)
         record = JobRecord(id=f"job-{at_ms}", route="quick", accepted_ms=at_ms, steps=[step])
-        self.arrivals.note(make_job(record, ROUTE, DurationEstimates()), DurationEstimates())
+        self.arrivals.add_job(make_job(record, ROUTE, DurationEstimates()), DurationEstimates())
 
     def test_work_of_the_last_seconds_is_averaged(self) -> None:
         for at_ms in range(0, 1500, 100):
@@ -715,7 +715,7 @@
             StepRecord(count=32, cpu_millis=4000, estimated_ms=4000, depends_on=[0]),
         ]
         record = JobRecord(id="wide", route="quick", steps=steps)
-        self.arrivals.note(make_job(record, ROUTE, DurationEstimates()), DurationEstimates())
+        self.arrivals.add_job(make_job(record, ROUTE, DurationEstimates()), DurationEstimates())
         self.assertAlmostEqual(32 * 4000, self.arrivals.cpu_millis(100), delta=2)
         self.assertAlmostEqual(32 * 4000, self.arrivals.cpu_millis(7900), delta=2)
         self.assertEqual(0, self.arrivals.cpu_millis(8100))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from pumicespur.jobs._account_usage import AccountUsage, ResourceUsage
-from pumicespur.jobs._demand import current_demand
+from pumicespur.jobs._demand import measure_demand
 from pumicespur.jobs._fair_share import FairShareMeter
-from pumicespur.jobs._ledger import WHOLE_LIMIT, Ledger, founding_allotment
+from pumicespur.jobs._ledger import WHOLE_LIMIT, Ledger, compute_founding_allotment
 from pumicespur.jobs._limit_transfers import UNUSED_RETENTION_S, PeerAllotment
 from pumicespur.jobs._limits import MAX_REPORTED_ACCOUNTS, PoolLimits
 from pumicespur.model import (
@@ -97,8 +97,10 @@
     @given(st.integers(1, 40))
     def test_founding_allotments_add_up_to_the_whole_limit(self, count: int) -> None:
         pools = [PoolId(f"p{number}") for number in range(count)]
-        self.assertEqual(WHOLE_LIMIT, sum(founding_allotment(pool, pools) for pool in pools))
-        self.assertEqual(0, founding_allotment(PoolId("new"), pools))
+        self.assertEqual(
+            WHOLE_LIMIT, sum(compute_founding_allotment(pool, pools) for pool in pools)
+        )
+        self.assertEqual(0, compute_founding_allotment(PoolId("new"), pools))
 
     def test_transfer_reported_twice_is_taken_once(self) -> None:
         ledger = Ledger(SMALL, 100)
@@ -339,7 +341,7 @@
 
     def test_waiting_work_beyond_the_limit_requests_no_workers(self) -> None:
         submit(self.pool, self.record("1", count=50))
-        self.assertEqual(3_000, current_demand(self.pool, 0.0).waiting.cpu_millis)
+        self.assertEqual(3_000, measure_demand(self.pool, 0.0).waiting.cpu_millis)
 
 
 class ShareTest(unittest.TestCase):
@@ -347,7 +349,7 @@
 
     def beyond(self, weight: float, times_ms: list[int]) -> list[bool]:
         meter = FairShareMeter()
-        return [meter.exceeds_share(SMALL, weight, at) for at in times_ms]
+        return [meter.note_job(SMALL, weight, at) for at in times_ms]
 
     def test_jobs_within_the_rate_are_within_the_share(self) -> None:
         self.assertEqual([False] * 5 + [True] * 3, self.beyond(4.0, [1_000] * 8))
@@ -366,7 +368,7 @@
         self.assertTrue(self.quiet_account_is_served())
 
     def test_finds_a_busy_account_that_delays_others(self) -> None:
-        with patch.object(FairShareMeter, "exceeds_share", lambda *arguments: False):
+        with patch.object(FairShareMeter, "note_job", lambda *arguments: False):
             self.assertFalse(self.quiet_account_is_served())
 
     def quiet_account_is_served(self) -> bool:
