--- a/pumicespur/jobs/_allotment_exchange.py
+++ b/pumicespur/jobs/_allotment_exchange.py
@@ -9,7 +9,7 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.jobs._keys import FOUNDERS_KEY, PARTS_TABLE, part_key
+from pumicespur.jobs._keys import ALLOTMENTS_TABLE, FOUNDERS_KEY, allotment_key
 from pumicespur.jobs._limit_transfers import PeerAllotment
 from pumicespur.model import AccountId, PoolId
 from pumicespur.schema.jobs_pb import FoundersRecord, PartRecord
@@ -56,7 +56,7 @@
         self.limits.set_accounts(self.view.configuration.accounts)
         self.limits.set_founders(await self._read_founders())
         while True:
-            scanned = await self.table.scan(PARTS_TABLE, self.limits.pool)
+            scanned = await self.table.scan(ALLOTMENTS_TABLE, self.limits.pool)
             match scanned:
                 case Result(tag="ok", ok=page):
                     records = [PartRecord.from_binary(row.value) for row in page.rows]
@@ -116,7 +116,7 @@
 
     def write(self, record: PartRecord) -> Write:
         """Return the write that records a ledger, fenced by the owner's commit."""
-        key = part_key(self.limits.pool, AccountId(record.account))
+        key = allotment_key(self.limits.pool, AccountId(record.account))
         return Write(key, record.to_binary())
 
     def note_recorded(self, records: Sequence[PartRecord]) -> None:
--- a/pumicespur/jobs/_keys.py
+++ b/pumicespur/jobs/_keys.py
@@ -54,12 +54,12 @@
     return f"commits/{pool}/last"
 
 
-PARTS_TABLE = "parts"
+ALLOTMENTS_TABLE = "parts"
 
 FOUNDERS_KEY = "founders//parts"
 """The row of the pools that started with equal allotments of every account's limit."""
 
 
-def part_key(pool: PoolId, account: AccountId) -> str:
+def allotment_key(pool: PoolId, account: AccountId) -> str:
     """Return the row of a pool's allotment of an account; ids may be longer than keys permit."""
-    return f"{PARTS_TABLE}/{pool}/{key_digest(account).hex()}"
+    return f"{ALLOTMENTS_TABLE}/{pool}/{key_digest(account).hex()}"
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -79,7 +79,7 @@
     ended: list[Job] = field(default_factory=list)
     starts: list[tuple[Task, int, WorkerId]] = field(default_factory=list)
     acknowledged: list[tuple[WorkerSession, int]] = field(default_factory=list)
-    parts: list[PartRecord] = field(default_factory=list)
+    allotments: list[PartRecord] = field(default_factory=list)
 
 
 class PoolOwner:
@@ -108,11 +108,11 @@
         self.restarts = Restarts(settings.workers, earlier_leases)
         self.request_report = request_report
         """Requests an immediate report to the other processes."""
-        self.size = PoolSizer(self.pool, request_report)
+        self.sizer = PoolSizer(self.pool, request_report)
         self.submissions = SubmissionFollower(
-            self.pool, table, view, settings, self.wake, self.size.note_arrival
+            self.pool, table, view, settings, self.wake, self.sizer.note_arrival
         )
-        self.parts = AllotmentExchange(self.pool.limits, table, view, request_report)
+        self.allotments = AllotmentExchange(self.pool.limits, table, view, request_report)
         self.start_block_reason = ""
         """Why tasks are not placed at present; empty if they are."""
         self.stopping = False
@@ -130,7 +130,7 @@
 
         With a round for every report, owners of overloaded pools spent their time on placement.
         """
-        if self.ready and self.parts.apply_reports(monotonic()):
+        if self.ready and self.allotments.apply_reports(monotonic()):
             self.wake()
 
     def spawn(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
@@ -158,7 +158,7 @@
             # with a slow store, so they run concurrently.
             async with anyio.create_task_group() as readers:
                 readers.start_soon(self.journal.load)
-                readers.start_soon(self.parts.load)
+                readers.start_soon(self.allotments.load)
                 readers.start_soon(self.submissions.load)
             self._log_takeover()
             await self._wait_for_workers()
@@ -343,11 +343,11 @@
                 self._evacuate()
                 self._requeue_expired_starts(monotonic())
                 self._update_limits(monotonic())
-                self.parts.apply_reports(monotonic())
+                self.allotments.apply_reports(monotonic())
                 if self._may_start(monotonic()):
                     self.pool.place(monotonic(), now_ms())
-                self.parts.report_new_shortfalls()
-                self.size.update(monotonic())
+                self.allotments.report_new_shortfalls()
+                self.sizer.update(monotonic())
                 self._throttle()
             batch = self._collect()
             idle_s = monotonic() - self.journal.confirmed_at
@@ -426,8 +426,8 @@
         """Collect changes for a commit; acknowledge ends only if it includes every change."""
         batch = Batch()
         now = now_ms()
-        batch.parts = self.pool.limits.take_changed(MAX_ALLOTMENTS_PER_COMMIT)
-        batch.writes = [self.parts.write(record) for record in batch.parts]
+        batch.allotments = self.pool.limits.take_changed(MAX_ALLOTMENTS_PER_COMMIT)
+        batch.writes = [self.allotments.write(record) for record in batch.allotments]
         dirty = sorted(self.pool.dirty, key=lambda job: job.id)[:MAX_JOBS_PER_COMMIT]
         for job in dirty:
             self.pool.dirty.discard(job)
@@ -468,7 +468,7 @@
         # The commit may have taken long: apply what was received meanwhile before sending orders.
         self._update_evacuations()
         self._update_limits(monotonic())
-        self.parts.note_recorded(batch.parts)
+        self.allotments.note_recorded(batch.allotments)
         for job in batch.ended:
             self.submissions.ended[job.id] = now
             self.pool.jobs.pop(job.id, None)
@@ -500,6 +500,6 @@
     def report(self) -> PoolReport:
         """Return the pool's report to other processes."""
         report = report_pool(self.pool, self.token)
-        self.size.fill_report(report)
-        report.parts = self.parts.report()
+        self.sizer.fill_report(report)
+        report.parts = self.allotments.report()
         return report
