--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,7 @@
-"""Tests of starts on workers that say they leave, while the store tells their owner late.
+"""Tests of starts on leaving workers whose owner learns late that they leave.
 
-What users saw: a task was started on a worker more than the time allowed after the store had
-confirmed that it leaves.
+They guard against a start on a worker later than the time allowed after the store confirmed that
+the worker leaves.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 from tests.base import default_settings, quiet_loop
 from tests.test_jobs import make_pool, make_record, make_worker, submit
 from tests.test_node import STEP, NodeCase, job_id
-from tests.test_watch import ScriptedOwner
+from tests.test_worker_session import ScriptedOwner
 
 DRAIN_S = 1.2
-"""Time that nodes under test have to know that a worker leaves, as their settings tell."""
+"""Time after which tested nodes must know that a worker leaves; set in their settings."""
 
 LONE = {**STEP, "count": 1}
 
@@ -40,7 +40,7 @@
 
 
 class LeavingWhileRecordedTest(unittest.IsolatedAsyncioTestCase):
-    """A worker whose state changes between the choice of it and the order."""
+    """A worker whose state changes between placement and the start order."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -54,32 +54,32 @@
         self.task = submit(self.owner.pool, make_record(StepRecord(count=1, cpu_millis=1))).tasks[0]
         assign(self.task, self.session.load)
 
-    async def test_a_start_is_not_ordered_on_a_worker_that_has_come_to_leave(self) -> None:
+    async def test_a_start_is_not_ordered_on_a_draining_worker(self) -> None:
         self.owner.pool.add_worker(replace(self.worker, state=WorkerState.DRAINING))
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
         self.assertIs(TaskState.WAITING, self.task.state)
 
-    async def test_a_start_is_not_ordered_on_a_worker_that_is_to_be_emptied_by_now(self) -> None:
+    async def test_a_start_is_not_ordered_on_a_worker_that_is_being_evacuated(self) -> None:
         self.session.load.evacuating = True
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
 
-    async def test_a_start_is_not_ordered_on_a_worker_that_is_not_listed_any_more(self) -> None:
+    async def test_a_start_is_not_ordered_on_a_worker_that_is_no_longer_listed(self) -> None:
         self.session.load.listed = False
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
 
-    async def test_a_start_is_not_ordered_where_the_label_has_gone(self) -> None:
+    async def test_a_start_is_not_ordered_without_the_required_label(self) -> None:
         self.task.spec.required_label = "large"
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
 
-    async def test_a_start_is_ordered_where_nothing_has_changed(self) -> None:
+    async def test_a_start_is_ordered_if_nothing_has_changed(self) -> None:
         await self.session.starts.order(self.task, 1)
         self.assertEqual(1, self.owner.orders.starts)
 
-    async def test_a_start_is_not_ordered_once_its_account_is_over_a_fallen_limit(self) -> None:
+    async def test_a_start_is_not_ordered_if_its_account_exceeds_a_reduced_limit(self) -> None:
         limits = self.owner.pool.limits
         account = AccountId("crown")
         job = submit(self.owner.pool, make_record(TWO_TASKS, job="2"))
@@ -91,7 +91,7 @@
         await self.session.starts.order(job.tasks[1], 1)
         self.assertEqual(1, self.owner.orders.starts)
 
-    async def test_a_start_under_a_limit_waits_while_the_limit_may_have_changed(self) -> None:
+    async def test_a_start_under_a_limit_waits_while_the_limit_is_stale(self) -> None:
         limits = self.owner.pool.limits
         account = AccountId("crown")
         self.task.job.account = account
@@ -103,22 +103,22 @@
         limits.stale = False
         self.assertTrue(limits.allows(account, TWO_TASKS, monotonic()))
 
-    async def test_a_start_whose_ticket_is_over_is_not_ordered(self) -> None:
+    async def test_a_start_with_an_expired_ticket_is_not_ordered(self) -> None:
         self.task.job.advised = True
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
 
-    async def test_no_start_is_ordered_by_a_list_that_is_too_old(self) -> None:
+    async def test_no_start_is_ordered_while_the_list_of_workers_is_too_old(self) -> None:
         self.owner.workers_age_s = self.drain_s - start_timeout_s(self.settings) + 0.01
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
 
-    async def test_no_start_is_ordered_while_cancellations_may_be_unheard(self) -> None:
+    async def test_no_start_is_ordered_while_the_cancellations_are_too_old(self) -> None:
         self.owner.submissions_age_s = self.settings.cancel_ms / 1000
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
 
-    async def test_the_worker_refuses_a_start_that_comes_once_its_beliefs_are_too_old(self) -> None:
+    async def test_a_start_has_a_deadline_by_the_age_of_the_known_state(self) -> None:
         self.owner.workers_age_s = 1.0
         sent_at = monotonic()
         await self.session.starts.order(self.task, 1)
@@ -128,8 +128,8 @@
         self.assertGreater(left_ms, (self.drain_s - 1.0) * 900)
 
 
-class BeliefsTest(unittest.TestCase):
-    """How old what a start rests on may be."""
+class KnownStateTest(unittest.TestCase):
+    """How old the tables may be that a start depends on."""
 
     def settings(self, drain_ms: int) -> WorkerSettings:
         return WorkerSettings(call_timeout_s=0.5, drain_ms=drain_ms, cancel_ms=3000)
@@ -141,16 +141,16 @@
             self.assertAlmostEqual(drain_ms / 1000, total_s)
             self.assertGreater(workers_max_age_s(settings), 0)
 
-    def test_what_was_never_read_is_out_of_date(self) -> None:
+    def test_tables_that_were_never_read_are_stale(self) -> None:
         self.assertTrue(KnownState().staleness_reason(self.settings(2000), 10.0))
 
-    def test_an_order_holds_for_as_long_as_each_of_them_allows(self) -> None:
+    def test_validity_of_an_order_is_the_shortest_of_all_tables(self) -> None:
         settings = self.settings(2000)
         fresh, old = Reading(1, 10.0), Reading(1, 8.5)
         self.assertAlmostEqual(2.0, KnownState(fresh, fresh).valid_for_s(settings, 10.0))
         self.assertAlmostEqual(1.5, KnownState(fresh, old).valid_for_s(settings, 10.0))
 
-    def test_each_table_is_judged(self) -> None:
+    def test_the_age_of_each_table_is_checked(self) -> None:
         settings, fresh = self.settings(2000), Reading(1, 10.0)
         self.assertEqual("", KnownState(fresh, fresh).staleness_reason(settings, 11.0))
         self.assertIn(
@@ -159,41 +159,41 @@
         self.assertIn("cancel", KnownState(fresh, Reading(1, 8.0)).staleness_reason(settings, 11.0))
 
 
-class KeptEmptyTest(unittest.TestCase):
-    """A worker that its owner has told to be empty, and a fleet's holder that falls silent."""
+class EvacuatedWorkerTest(unittest.TestCase):
+    """A worker that was reported as evacuated, and a fleet leader that becomes unreachable."""
 
     def setUp(self) -> None:
         self.pool = make_pool(make_worker("w"))
         (self.load,) = self.pool.loads.values()
 
-    def told(self) -> bool:
+    def reported(self) -> bool:
         return report_pool(self.pool, 1).workers[0].evacuating
 
-    def test_it_is_kept_empty_for_as_long_as_the_holder_may_act_on_it(self) -> None:
+    def test_it_gets_no_tasks_while_the_leader_may_act_on_the_report(self) -> None:
         self.assertTrue(self.load.update_evacuation(True, monotonic()))
-        self.assertTrue(self.told())
+        self.assertTrue(self.reported())
         now = monotonic()
         self.load.update_evacuation(None, now)
         self.assertTrue(self.load.evacuating)
         self.assertTrue(self.load.update_evacuation(None, now + REPORT_VALIDITY_S))
         self.assertFalse(self.load.evacuating)
 
-    def test_meanwhile_nobody_is_told_so_again(self) -> None:
+    def test_it_is_not_reported_again_meanwhile(self) -> None:
         self.load.update_evacuation(True, monotonic())
         self.load.update_evacuation(None, monotonic())
-        self.assertFalse(self.told())
+        self.assertFalse(self.reported())
 
-    def test_it_takes_tasks_again_as_soon_as_the_holder_says_so(self) -> None:
+    def test_it_gets_tasks_again_as_soon_as_the_leader_ends_the_evacuation(self) -> None:
         self.load.update_evacuation(True, monotonic())
-        self.assertTrue(self.told())
+        self.assertTrue(self.reported())
         self.load.update_evacuation(False, monotonic())
         self.assertFalse(self.load.evacuating)
 
 
 class OldReportTest(unittest.TestCase):
-    """A report that is read long after it was told."""
+    """A report that is read long after it was sent."""
 
-    def test_it_is_as_old_as_its_telling(self) -> None:
+    def test_its_age_counts_from_its_sending(self) -> None:
         view = NodeView()
         table: Any = SimpleNamespace(clock=StoreClock())
         now = monotonic()
@@ -207,39 +207,39 @@
             hearing.take_reports([Row("reports/o/newest", report.to_binary(), told_ms)], False)
             self.assertEqual(known, bool(view.fresh_reports(3.0)))
 
-    def test_without_a_holder_nothing_is_known_of_evacuations(self) -> None:
+    def test_without_a_leader_evacuations_are_unknown(self) -> None:
         view = NodeView()
         view.reports[ProcessId("owner")] = SeenReport(DutyReport(process="owner"), monotonic())
         self.assertIsNone(view.evacuations(3.0))
 
 
 class LeavingCase(NodeCase):
-    """Two workers; the job of a test runs on the first one alone until that leaves."""
+    """A job runs on a single worker until that leaves and a second worker is added."""
 
     workers = 1
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         await self.world.wait_for(
-            lambda: '"worker reachable"' in self.node.log.read_text(), "the worker is watched"
+            lambda: '"worker reachable"' in self.node.log.read_text(), "the worker has a session"
         )
 
-    async def check_moved_on(self, job: str) -> None:
-        """Check that a job completes once all is well, and where its tasks began."""
+    async def check_moved(self, job: str) -> None:
+        """Check that a job completes and no task started on the leaving worker too late."""
         await self.world.wait_state(self.node, job, "completed")
         self.assertEqual([], self.world.starts_on_leaving(DRAIN_S))
 
     async def submit(self, number: int, steps: list[dict[str, Any]] | None = None) -> str:
-        """Hand a job in."""
+        """Submit a job."""
         job = job_id(number)
         self.assertEqual(200, await self.world.submit(self.node, job, steps or [LONE]))
         return job
 
 
-class CommitWaitsTest(LeavingCase):
-    """The store refuses an owner's commits, and tells it all the while of its workers."""
+class DelayedCommitTest(LeavingCase):
+    """The store refuses an owner's commits but serves its reads of the list of workers."""
 
-    async def test_a_start_whose_commit_waited_is_not_ordered_on_a_worker_that_left(self) -> None:
+    async def test_a_start_with_a_delayed_commit_is_not_ordered_on_a_leaving_worker(self) -> None:
         self.world.workers["m-0"].task_s = 0.1
         job = await self.submit(1, [LONE, {**LONE, "dependsOn": [0]}])
         await self.world.wait_for(lambda: bool(self.world.history), "the first step runs")
@@ -249,31 +249,31 @@
         await asyncio.sleep(DRAIN_S + 0.05)
         await self.world.add_worker("m-1")
         self.world.store.faults.refused_callers.clear()
-        await self.check_moved_on(job)
+        await self.check_moved(job)
 
 
-class ListUnreadTest(LeavingCase):
-    """The list of workers can't be read, while all other calls are answered."""
+class UnreadableListTest(LeavingCase):
+    """The list of workers can't be read while all other calls succeed."""
 
-    async def leave_unheard(self, tables: set[str]) -> None:
-        """Let the worker leave while nobody can hear of it."""
+    async def leave_unnoticed(self, tables: set[str]) -> None:
+        """Let the worker leave while no node can read that."""
         await asyncio.sleep(0.3)
         tables.add("servers")
         await asyncio.sleep(0.1)
         self.world.drain_worker("m-0")
         await self.world.add_worker("m-1")
 
-    async def test_no_start_is_ordered_by_a_list_that_is_refused_for_too_long(self) -> None:
+    async def test_no_start_is_ordered_if_the_list_is_refused_for_too_long(self) -> None:
         refused = self.world.store.faults.refused_tables
-        await self.leave_unheard(refused)
+        await self.leave_unnoticed(refused)
         await asyncio.sleep(DRAIN_S + 0.1)
         job = await self.submit(2)
         await asyncio.sleep(0.7)
         refused.clear()
-        await self.check_moved_on(job)
+        await self.check_moved(job)
 
-    async def test_a_list_is_read_anew_in_time_when_its_changes_stay_silent(self) -> None:
+    async def test_a_list_is_read_in_full_in_time_if_its_changes_get_no_response(self) -> None:
         deaf = self.world.store.faults.deaf_tables
-        await self.leave_unheard(deaf)
+        await self.leave_unnoticed(deaf)
         await asyncio.sleep(DRAIN_S + 0.1)
-        await self.check_moved_on(await self.submit(3))
+        await self.check_moved(await self.submit(3))
--- a/tests/test_room.py
+++ b/tests/test_worker_capacity.py
@@ -1,8 +1,8 @@
-"""Tests of a worker's room, which may shrink while tasks are on their way to it.
+"""Tests of a worker's capacity, which may shrink while starts are under way.
 
-What operators would see: a worker that starts whatever it is told is brought over its room, and
-all that it runs becomes slow. The room had shrunk while a place was being recorded, or a run that
-was being stopped was no longer counted.
+They guard against a worker that is overcommitted, which slows all its tasks. This happens if the
+capacity shrinks while a placement is being recorded, or if a run that is being stopped is no longer
+counted.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from tests.base import quiet_loop
 from tests.test_jobs import make_record, make_worker, submit
 from tests.test_node import STEP, NodeCase, job_id
-from tests.test_watch import ScriptedOwner
+from tests.test_worker_session import ScriptedOwner
 
-ROOM = 1000
+CAPACITY_MILLIS = 1000
 
 
-class ShrinkingRoomTest(unittest.IsolatedAsyncioTestCase):
-    """One worker with room for two tasks, and three that are placed one by one."""
+class ShrinkingCapacityTest(unittest.IsolatedAsyncioTestCase):
+    """One worker with capacity for two of three tasks."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
         self.owner = ScriptedOwner()
-        self.worker = make_worker("w", cpu=ROOM)
+        self.worker = make_worker("w", cpu=CAPACITY_MILLIS)
         self.session = WorkerSession(self.owner, self.worker, EarlierLeases(0.0))
         self.session.load.reachable = True
         self.session.lease.note_clock(0.0, monotonic())
@@ -46,11 +46,11 @@
         smaller = replace(self.worker, capacity=Capacity(cpu, 8000))
         self.owner.pool.add_worker(smaller)
 
-    async def account(self, *runs: Running) -> None:
-        answer = Account(monotonic() * 1000, list(runs), [])
-        await self.session._apply_status(answer, monotonic())
+    async def report_status(self, *runs: Running) -> None:
+        status = Account(monotonic() * 1000, list(runs), [])
+        await self.session._apply_status(status, monotonic())
 
-    async def test_start_is_taken_back_when_the_room_shrank_meanwhile(self) -> None:
+    async def test_start_is_withdrawn_when_the_capacity_shrank_meanwhile(self) -> None:
         first, second, _ = self.job.tasks
         for task in (first, second):
             assign(task, self.session.load)
@@ -61,13 +61,13 @@
         self.assertIs(TaskState.WAITING, second.state)
         self.assertEqual(500, self.session.load.cpu_millis)
 
-    async def test_room_that_grows_again_is_used(self) -> None:
+    async def test_capacity_that_grows_again_is_used(self) -> None:
         self.shrink(500)
         self.assertEqual(1, len(self.owner.pool.place(monotonic(), 0.0)))
-        self.shrink(ROOM)
+        self.shrink(CAPACITY_MILLIS)
         self.assertEqual(1, len(self.owner.pool.place(monotonic(), 0.0)))
 
-    async def test_start_on_its_way_counts_after_its_job_was_cancelled(self) -> None:
+    async def test_pending_start_counts_after_its_job_was_cancelled(self) -> None:
         task = self.job.tasks[0]
         assign(task, self.session.load)
         released = asyncio.Event()
@@ -80,31 +80,31 @@
         ordering = asyncio.create_task(self.session.starts.order(task, 1))
         await asyncio.sleep(0)
         self.owner.pool.cancel(self.job)
-        await self.account()
+        await self.report_status()
         self.assertEqual(500, self.session.load.cpu_millis)
         released.set()
         await ordering
 
-    async def test_start_without_an_answer_counts_after_its_job_was_cancelled(self) -> None:
+    async def test_unresolved_start_counts_after_its_job_was_cancelled(self) -> None:
         task = self.job.tasks[0]
         assign(task, self.session.load)
         task.state = TaskState.STARTING
         self.session.starts.unresolved[task] = UnresolvedStart(1, monotonic() + 60)
         self.owner.pool.cancel(self.job)
-        await self.account()
+        await self.report_status()
         self.assertEqual(500, self.session.load.cpu_millis)
 
-    async def test_run_of_which_nothing_is_known_closes_the_worker_until_it_is_gone(self) -> None:
-        await self.account(Running(TaskName("f" * 16 + ".0.0.0"), 1, "", 5, 0.0))
+    async def test_worker_with_an_unknown_run_gets_no_tasks_until_it_has_ended(self) -> None:
+        await self.report_status(Running(TaskName("f" * 16 + ".0.0.0"), 1, "", 5, 0.0))
         self.assertEqual([], self.owner.pool.place(monotonic(), 0.0))
-        await self.account()
+        await self.report_status()
         self.assertEqual(2, len(self.owner.pool.place(monotonic(), 0.0)))
 
 
 class ShrunkWorkerTest(NodeCase):
     """All workers but one shrink to a single task each, and grow again."""
 
-    async def test_it_gets_no_more_than_it_holds(self) -> None:
+    async def test_shrunk_workers_get_no_more_tasks_than_they_fit(self) -> None:
         for worker in self.world.workers.values():
             worker.task_s = 0.2
         for name in ("m-0", "m-1"):
@@ -119,8 +119,8 @@
         for name in shrunk:
             runs = [run for run in self.world.history if run.worker == name]
             for run in runs:
-                beside = [r for r in runs if r.started_at <= run.started_at < (r.ended_at or 0)]
-                self.assertEqual(1, len(beside))
+                concurrent = [r for r in runs if r.started_at <= run.started_at < (r.ended_at or 0)]
+                self.assertEqual(1, len(concurrent))
         self.world.resize_worker("m-0", 4000)
         await asyncio.sleep(1.0)
         jobs = [job_id(100 + number) for number in range(6)]
--- a/tests/test_watch.py
+++ b/tests/test_worker_session.py
@@ -1,4 +1,4 @@
-"""Tests of the dealings with one worker, against a worker that keeps to a script."""
+"""Tests of a worker session against a scripted worker."""
 
 from __future__ import annotations
 
@@ -39,23 +39,23 @@
 
 @dataclass
 class ScriptedOrders:
-    """A worker whose ends are set by the test."""
+    """A worker whose responses are set by the test."""
 
     ends: list[TaskEnd] = field(default_factory=list)
     ended_before_stop: TaskEnd | None = None
-    """A run that has begun and ended when the first stop arrives."""
+    """The end of a run that begins and ends before the first stop arrives."""
     stops: int = 0
     starts: int = 0
     orders: list[StartOrder] = field(default_factory=list)
     running: list[Running] = field(default_factory=list)
     last_seen: list[int] = field(default_factory=list)
-    """What each look acknowledged."""
+    """What each poll acknowledged."""
     deadlines: list[int | None] = field(default_factory=list)
     faults: list[Any] = field(default_factory=list)
-    """What the next looks meet instead of an account, first the first one."""
+    """The errors of the next polls, in order."""
 
     async def start(self, worker: Any, token: int, order: StartOrder) -> Result[None, Any]:
-        """Take a start."""
+        """Accept a start."""
         self.starts += 1
         self.orders.append(order)
         return Ok(None)
@@ -63,7 +63,7 @@
     async def hold(
         self, worker: Any, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
     ) -> Result[Account, Any]:
-        """Tell what has ended and what runs."""
+        """Return the worker's status or the next error."""
         self.last_seen.append(last_seen)
         self.deadlines.append(deadline_ms)
         if self.faults:
@@ -71,7 +71,7 @@
         return Ok(Account(monotonic() * 1000, list(self.running), list(self.ends)))
 
     async def stop(self, *arguments: Any) -> Result[None, Any]:
-        """Take a stop; the run may be over by then."""
+        """Accept a stop; the run may have ended before."""
         self.stops += 1
         if self.ended_before_stop is not None:
             self.ends.append(self.ended_before_stop)
@@ -79,7 +79,7 @@
 
 
 class ScriptedOwner:
-    """A pool's owner without rounds."""
+    """A pool's owner that runs no rounds."""
 
     def __init__(self) -> None:
         self.settings = default_settings()
@@ -93,31 +93,31 @@
         self.restarted: list[tuple[WorkerId, bool]] = []
 
     def known_state(self) -> KnownState:
-        """Know everything as of now, unless a test sets ages."""
+        """Return state that is fresh unless the test sets ages."""
         now = monotonic()
         return KnownState(
             Reading(1, now - self.workers_age_s), Reading(1, now - self.submissions_age_s), 1
         )
 
     def may_renew_leases(self, now: float) -> bool:
-        """Extend leases always."""
+        """Always permit renewals."""
         return True
 
     def wake(self) -> None:
-        """Do nothing; there are no rounds."""
+        """Do nothing: there are no rounds."""
 
     def spawn(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
-        """Do nothing; the tests look at states."""
+        """Do nothing: the tests check states only."""
 
     def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
-        """Take an end in."""
+        """Process an end."""
         self.pool.note_end(worker, end, now)
 
     def stop_gang(self, group: StepGroup, run: int) -> None:
-        """Do nothing; the tests have no gangs."""
+        """Do nothing: the tests have no gangs."""
 
     def note_restart(self, worker: WorkerId, *, leased: bool) -> None:
-        """Take note."""
+        """Record the restart."""
         self.restarted.append((worker, leased))
 
     def note_revoked(self, worker: WorkerId, run: Any) -> None:
@@ -127,8 +127,8 @@
         """Do nothing."""
 
 
-class SettleTest(unittest.IsolatedAsyncioTestCase):
-    """A start without an answer, settled by a stop and the account after it."""
+class UnresolvedStartTest(unittest.IsolatedAsyncioTestCase):
+    """A start without a response is resolved by a stop and the status after it."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -144,34 +144,34 @@
     def name(self) -> TaskName:
         return self.task.name
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         await self.session._poll(monotonic())
 
     async def test_run_that_ended_before_the_stop_is_not_started_again(self) -> None:
-        # A task was done twice.
+        # The task was run a second time.
         end = TaskEnd(1, self.name(), 1, RunEnd.DONE, "")
         self.owner.orders.ended_before_stop = end
-        await self.look()
+        await self.poll()
         self.assertIs(TaskState.STARTING, self.task.state)
-        await self.look()
+        await self.poll()
         self.assertIs(TaskState.DONE, self.task.state)
 
-    async def test_run_that_never_began_is_started_again(self) -> None:
-        await self.look()
-        await self.look()
+    async def test_run_that_never_began_is_requeued(self) -> None:
+        await self.poll()
+        await self.poll()
         self.assertIs(TaskState.WAITING, self.task.state)
         self.assertEqual(1, self.owner.orders.stops)
         self.assertEqual({}, self.session.starts.unresolved)
 
-    async def test_account_asked_for_before_the_call_was_given_up_tells_nothing(self) -> None:
-        # A lasting task that had just begun was stopped: an older account did not list it.
+    async def test_status_requested_before_the_start_call_timed_out_proves_nothing(self) -> None:
+        # A long-running task was stopped just after its start: an older status did not list it yet.
         self.session.starts.unresolved[self.task].since = monotonic() + 60
-        await self.look()
+        await self.poll()
         self.assertEqual(0, self.owner.orders.stops)
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    """A start whose task changed while its place was recorded."""
+    """A start whose task changed while its placement was recorded."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -183,9 +183,9 @@
         self.job = submit(self.owner.pool, record)
         self.task = self.job.tasks[0]
 
-    async def test_task_that_an_earlier_run_finished_stays_done(self) -> None:
-        # An earlier run ended while the place of its copy was recorded; the next owner ran the task
-        # once more.
+    async def test_task_that_an_earlier_run_completed_stays_done(self) -> None:
+        # An earlier run ended while the placement of the next run was recorded. The next owner ran
+        # the task a second time.
         assign(self.task, self.session.load)
         self.task.mark_waiting()
         assign(self.task, self.session.load)
@@ -204,7 +204,7 @@
 
 
 class AcknowledgementTest(unittest.IsolatedAsyncioTestCase):
-    """Numbers of ends mean something to the life alone that gave them."""
+    """Ends are numbered by each incarnation and must not be acknowledged to another one."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -214,7 +214,7 @@
         job = submit(self.owner.pool, make_record(StepRecord(count=2, cpu_millis=100)))
         self.first, self.second = job.tasks
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         await self.session._poll(monotonic())
 
     async def begin(self, task: Task) -> None:
@@ -222,49 +222,51 @@
         await self.session.starts.order(task, task.run)
 
     async def end_first(self) -> None:
-        """Let one of two tasks end after both were seen at work."""
-        await self.look()
+        """Let the first of two tasks start and end."""
+        await self.poll()
         await self.begin(self.first)
         self.orders.ends = [TaskEnd(1, self.first.name, 1, RunEnd.DONE, "")]
-        await self.look()
+        await self.poll()
 
     async def test_recorded_ends_are_acknowledged(self) -> None:
         await self.end_first()
         self.session.note_recorded(1)
-        await self.look()
+        await self.poll()
         self.assertEqual([0, 0, 1], self.orders.last_seen)
 
-    async def test_not_while_a_start_is_open(self) -> None:
-        # The start may have reached a life that began meanwhile and numbers its ends anew.
+    async def test_no_end_is_acknowledged_while_a_start_is_unconfirmed(self) -> None:
+        # The start may have reached a new incarnation, which numbers its ends from one again.
         await self.end_first()
         await self.begin(self.second)
         self.session.note_recorded(1)
-        await self.look()
+        await self.poll()
         self.assertEqual(0, self.orders.last_seen[-1])
         self.orders.running = [Running(self.second.name, 1, "", 0, 0.0)]
-        await self.look()
-        await self.look()
+        await self.poll()
+        await self.poll()
         self.assertEqual(1, self.orders.last_seen[-1])
 
-    async def test_nor_what_was_acknowledged_before(self) -> None:
+    async def test_an_earlier_acknowledgement_is_not_repeated_while_a_start_is_unconfirmed(
+        self,
+    ) -> None:
         await self.end_first()
         self.session.note_recorded(1)
-        await self.look()
+        await self.poll()
         await self.begin(self.second)
-        await self.look()
+        await self.poll()
         self.assertEqual([1, 0], self.orders.last_seen[-2:])
 
-    async def test_not_after_a_silence(self) -> None:
+    async def test_no_end_is_acknowledged_in_the_first_poll_after_a_failure(self) -> None:
         await self.end_first()
         self.session.note_recorded(1)
         self.orders.faults = [AnswerLost("silent")]
         for _ in range(3):
-            await self.look()
+            await self.poll()
         self.assertEqual([1, 0, 1], self.orders.last_seen[-3:])
 
 
 class SilentWorkerTest(unittest.IsolatedAsyncioTestCase):
-    """What a worker is promised that does not answer."""
+    """A worker that does not respond gets no new lease."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -273,7 +275,7 @@
         self.session = WorkerSession(self.owner, make_worker("w"), EarlierLeases(0.0))
         await self.session._poll(monotonic())
 
-    async def test_it_is_promised_nothing_more(self) -> None:
+    async def test_its_lease_is_not_renewed(self) -> None:
         self.orders.faults = [AnswerLost("silent"), AnswerLost("silent")]
         await self.session._poll(monotonic())
         expires_at = self.session.lease.expires_at()
@@ -281,70 +283,70 @@
         self.assertIsNone(self.orders.deadlines[-1])
         self.assertEqual(expires_at, self.session.lease.expires_at())
 
-    async def test_a_next_life_that_is_met_after_a_silence_holds_no_lease(self) -> None:
+    async def test_a_restart_noticed_after_a_failed_poll_leaves_no_lease(self) -> None:
         self.orders.faults = [AnswerLost("silent"), StartedAgain()]
         await self.session._poll(monotonic())
         await self.session._poll(monotonic())
         self.assertEqual([(self.session.id, False)], self.owner.restarted)
 
-    async def test_one_that_took_a_deadline_may_hold_one(self) -> None:
+    async def test_a_restart_noticed_with_a_deadline_may_leave_a_lease(self) -> None:
         self.orders.faults = [StartedAgain()]
         await self.session._poll(monotonic())
         self.assertEqual([(self.session.id, True)], self.owner.restarted)
 
 
-class NextLifeTest(unittest.IsolatedAsyncioTestCase):
-    """A worker that answers in another life than its owner dealt with."""
+class RestartedWorkerTest(unittest.IsolatedAsyncioTestCase):
+    """A worker that responds with another incarnation than its owner's session is for."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
         self.owner = ScriptedOwner()
         self.orders = self.owner.orders
-        first, second = (worker_id(WorkerName("w"), born) for born in (1000, 2000))
-        self.before = WorkerSession(self.owner, make_worker(first), EarlierLeases(0.0))
+        first, second = (worker_id(WorkerName("w"), started_ms) for started_ms in (1000, 2000))
+        self.previous = WorkerSession(self.owner, make_worker(first), EarlierLeases(0.0))
         job = submit(self.owner.pool, make_record(StepRecord(count=2, cpu_millis=100)))
-        self.seen, self.open = job.tasks
-        await self.before._poll(monotonic())
+        self.confirmed, self.unconfirmed = job.tasks
+        await self.previous._poll(monotonic())
         for task in job.tasks:
-            assign(task, self.before.load)
-            await self.before.starts.order(task, 1)
-            if task is self.seen:
+            assign(task, self.previous.load)
+            await self.previous.starts.order(task, 1)
+            if task is self.confirmed:
                 self.orders.running = [Running(task.name, 1, "", 0, 0.0)]
-                await self.before._poll(monotonic())
+                await self.previous._poll(monotonic())
         self.orders.running = []
         self.orders.faults = [StartedAgain()]
-        await self.before._poll(monotonic())
-        self.after = WorkerSession(self.owner, make_worker(second), EarlierLeases(0.0))
-
-    async def look(self) -> None:
-        await self.after._poll(monotonic())
-
-    async def test_what_the_life_before_told_of_is_lost_with_it(self) -> None:
-        self.assertEqual([(self.before.id, True)], self.owner.restarted)
-        self.assertIs(TaskState.WAITING, self.seen.state)
-
-    async def test_an_open_start_waits_for_what_the_next_life_tells(self) -> None:
-        self.assertEqual(self.before.id, self.open.worker)
-        self.after.starts.adopt(self.open, monotonic())
-        await self.look()
-        self.assertEqual((1, TaskState.STARTING), (self.orders.stops, self.open.state))
-        await self.look()
-        self.assertIs(TaskState.WAITING, self.open.state)
-        self.assertEqual([self.before.id], [loss.worker for loss in self.open.losses])
-
-    async def test_an_open_start_that_the_next_life_took_goes_on(self) -> None:
-        self.open.losses = [
-            WorkerLoss(self.before.id, self.before.load.instance, sole_suspect=True)
+        await self.previous._poll(monotonic())
+        self.next = WorkerSession(self.owner, make_worker(second), EarlierLeases(0.0))
+
+    async def poll(self) -> None:
+        await self.next._poll(monotonic())
+
+    async def test_confirmed_runs_are_lost_with_their_incarnation(self) -> None:
+        self.assertEqual([(self.previous.id, True)], self.owner.restarted)
+        self.assertIs(TaskState.WAITING, self.confirmed.state)
+
+    async def test_an_unconfirmed_start_waits_for_the_next_incarnations_status(self) -> None:
+        self.assertEqual(self.previous.id, self.unconfirmed.worker)
+        self.next.starts.adopt(self.unconfirmed, monotonic())
+        await self.poll()
+        self.assertEqual((1, TaskState.STARTING), (self.orders.stops, self.unconfirmed.state))
+        await self.poll()
+        self.assertIs(TaskState.WAITING, self.unconfirmed.state)
+        self.assertEqual([self.previous.id], [loss.worker for loss in self.unconfirmed.losses])
+
+    async def test_an_unconfirmed_start_that_the_next_incarnation_runs_continues(self) -> None:
+        self.unconfirmed.losses = [
+            WorkerLoss(self.previous.id, self.previous.load.instance, sole_suspect=True)
         ]
-        self.after.starts.adopt(self.open, monotonic())
-        self.orders.running = [Running(self.open.name, 1, "", 0, 0.0)]
-        await self.look()
-        self.assertIs(TaskState.RUNNING, self.open.state)
-        self.assertEqual((0, []), (self.orders.stops, self.open.losses))
-
-    async def test_its_ends_are_taken_in_from_one_on(self) -> None:
-        self.after.starts.adopt(self.open, monotonic())
-        self.orders.ends = [TaskEnd(1, self.open.name, 1, RunEnd.DONE, "")]
-        await self.look()
+        self.next.starts.adopt(self.unconfirmed, monotonic())
+        self.orders.running = [Running(self.unconfirmed.name, 1, "", 0, 0.0)]
+        await self.poll()
+        self.assertIs(TaskState.RUNNING, self.unconfirmed.state)
+        self.assertEqual((0, []), (self.orders.stops, self.unconfirmed.losses))
+
+    async def test_ends_of_the_next_incarnation_count_from_one(self) -> None:
+        self.next.starts.adopt(self.unconfirmed, monotonic())
+        self.orders.ends = [TaskEnd(1, self.unconfirmed.name, 1, RunEnd.DONE, "")]
+        await self.poll()
         self.assertEqual(0, self.orders.last_seen[-1])
-        self.assertIs(TaskState.DONE, self.open.state)
+        self.assertIs(TaskState.DONE, self.unconfirmed.state)
