--- a/pumicespur/jobs/_demand.py
+++ b/pumicespur/jobs/_demand.py
@@ -63,7 +63,9 @@
     """Demand of the running tasks of a pool and of those that are ready to start."""
 
     short: Demand = Demand()
+    """Short tasks; waiting ones count with `WAITING_WEIGHT`, or not at all if overdue."""
     long_running: Demand = Demand()
+    """Long-running tasks, running or waiting."""
     waiting: Demand = Demand()
     """Waiting short tasks that can still finish in time, at their full weight."""
     overdue: Demand = Demand()
@@ -159,7 +161,7 @@
         if job.record.repeats:
             return
         work = sum(
-            spec.count * spec.cpu_millis * estimates.corrected_ms(job.route, spec.estimated_ms)
+            spec.count * spec.cpu_millis * estimates.expected_ms(job.route, spec.estimated_ms)
             for spec in job.record.steps
             if not spec.long_running
         )
@@ -259,10 +261,10 @@
     cpu = (short.cpu_millis + long_running.cpu_millis) / max(1, capacity.cpu_millis)
     memory = (short.memory_mb + long_running.memory_mb) / max(1, capacity.memory_mb)
     by_demand = math.ceil(max(cpu, memory) / FILL_SHARE)
-    return max(MIN_WORKERS, by_demand, _spread_workers(pool))
+    return max(MIN_WORKERS, by_demand, _count_spread_workers(pool))
 
 
-def _spread_workers(pool: PoolState) -> int:
+def _count_spread_workers(pool: PoolState) -> int:
     """Return the workers required by the most widely spread step, plus one to move a task to."""
     widest = 0
     for job in pool.jobs.values():
--- a/pumicespur/jobs/_estimates.py
+++ b/pumicespur/jobs/_estimates.py
@@ -45,7 +45,7 @@
         self.sum_declared_squared = self.sum_declared_squared * decay + x * x
         self.sum_product = self.sum_product * decay + x * y
 
-    def corrected_ms(self, declared_ms: float) -> float:
+    def expected_ms(self, declared_ms: float) -> float:
         """Return the expected duration of a task, in milliseconds."""
         x = math.log(max(MIN_DURATION_MS, declared_ms))
         if not self.weight:
@@ -71,6 +71,6 @@
         """Add a completed task of a route."""
         self.routes[route].add_task(declared_ms, actual_ms)
 
-    def corrected_ms(self, route: RouteName, declared_ms: float) -> float:
+    def expected_ms(self, route: RouteName, declared_ms: float) -> float:
         """Return the expected duration of a task of a route, in milliseconds."""
-        return self.routes[route].corrected_ms(declared_ms)
+        return self.routes[route].expected_ms(declared_ms)
--- a/pumicespur/jobs/_job.py
+++ b/pumicespur/jobs/_job.py
@@ -136,11 +136,11 @@
 
 @dataclass(eq=False)
 class StepGroup:
-    """The tasks of one step in one repeat."""
+    """The tasks of one step in one repeat of a job; `step` is the index of the step."""
 
     job: Job
     repeat: int
-    number: int
+    step: int
     spec: StepRecord
     due_ms: int
     """Time of day before which no task may start, in milliseconds since 1970; 0 for none."""
@@ -221,7 +221,7 @@
     def _is_ready(self, group: StepGroup, now_ms: float) -> bool:
         if group.complete or group.due_ms > now_ms:
             return False
-        return all(self.group(group.repeat, number).complete for number in group.spec.depends_on)
+        return all(self.group(group.repeat, step).complete for step in group.spec.depends_on)
 
     def finish_task(self, task: Task) -> None:
         """Mark a task as completed, and the job with its last one."""
@@ -332,15 +332,15 @@
     )
     for repeat in range(max(1, record.repeats)):
         due_ms = record.first_due_ms + repeat * record.interval_ms if record.repeats else 0
-        for number, spec in enumerate(record.steps):
-            _add_group(job, StepGroup(job, repeat, number, spec, due_ms))
+        for step, spec in enumerate(record.steps):
+            _add_group(job, StepGroup(job, repeat, step, spec, due_ms))
     return job
 
 
 def _add_group(job: Job, group: StepGroup) -> None:
     job.groups.append(group)
     for position in range(group.spec.count):
-        name = task_name(job.id, group.repeat, group.number, position)
+        name = task_name(job.id, group.repeat, group.step, position)
         task = Task(group, len(job.tasks), name)
         group.tasks.append(task)
         job.tasks.append(task)
@@ -350,10 +350,10 @@
 def compute_critical_paths_ms(record: JobRecord, estimates: DurationEstimates) -> list[float]:
     """Return the critical path from the start of each step to the job's end, in milliseconds."""
     route = RouteName(record.route)
-    path_ms = [estimates.corrected_ms(route, step.estimated_ms) for step in record.steps]
+    path_ms = [estimates.expected_ms(route, step.estimated_ms) for step in record.steps]
     after_ms = [0.0] * len(path_ms)
-    for number in reversed(range(len(path_ms))):
-        path_ms[number] += after_ms[number]
-        for earlier in record.steps[number].depends_on:
-            after_ms[earlier] = max(after_ms[earlier], path_ms[number])
+    for step in reversed(range(len(path_ms))):
+        path_ms[step] += after_ms[step]
+        for earlier in record.steps[step].depends_on:
+            after_ms[earlier] = max(after_ms[earlier], path_ms[step])
     return path_ms
--- a/pumicespur/jobs/_placement.py
+++ b/pumicespur/jobs/_placement.py
@@ -53,7 +53,7 @@
         deadline += OVERDUE_DELAY_MS
     if job.exceeds_share:
         deadline += OVER_SHARE_DELAY_MS
-    return (deadline, job.id, group.repeat, group.number)
+    return (deadline, job.id, group.repeat, group.step)
 
 
 def is_overdue(group: StepGroup, now_ms: float) -> bool:
@@ -64,7 +64,7 @@
     if group.spec.long_running or group.due_ms:
         return False
     return (
-        now_ms + REMAINING_TIME_RATIO * group.job.critical_paths_ms[group.number]
+        now_ms + REMAINING_TIME_RATIO * group.job.critical_paths_ms[group.step]
         > group.job.deadline_ms
     )
 
--- a/pumicespur/jobs/_pool_sizing.py
+++ b/pumicespur/jobs/_pool_sizing.py
@@ -50,7 +50,7 @@
         if now - self.load_logged_at >= LOAD_LOG_INTERVAL_S:
             self.load_logged_at = now
             self._log_load(now)
-        busy = self._busy_workers(self.current.waiting)
+        busy = self._count_busy_workers(self.current.waiting)
         if busy > self.reported_workers:
             self.reported_workers = busy
             self.request_report()
@@ -63,16 +63,16 @@
         pool during the start of the next pool's load peak, which had 24 for 7 s.
         """
         demand = measure_demand(self.pool, now_ms())
-        report.busy_workers = self._busy_workers(demand.waiting)
+        report.busy_workers = self._count_busy_workers(demand.waiting)
         all_waiting = Demand(
             demand.waiting.cpu_millis + demand.overdue.cpu_millis,
             demand.waiting.memory_mb + demand.overdue.memory_mb,
         )
-        report.wanted_workers = max(report.busy_workers, self._workers_for(all_waiting))
+        report.wanted_workers = max(report.busy_workers, self._count_workers(all_waiting))
         if not self.arrivals.is_falling():
             # After the end of a load peak its maximum no longer counts: otherwise workers stay idle
             # in this pool while the next pool waits for them.
-            peak_workers = self._workers_for(self.demand.forecast())
+            peak_workers = self._count_workers(self.demand.forecast())
             report.wanted_workers = max(report.wanted_workers, peak_workers)
         self.reported_workers = report.busy_workers
         report.arriving_cpu_millis = self.arrivals.cpu_millis(now_ms())
@@ -87,7 +87,7 @@
         ):
             self.arrivals.add_job(job, self.pool.estimates)
 
-    def _busy_workers(self, waiting: Demand) -> int:
+    def _count_busy_workers(self, waiting: Demand) -> int:
         """Return how many workers the arriving and the waiting work requires.
 
         Once arrivals fall, running tasks are left out, because they end on the workers they have.
@@ -100,9 +100,9 @@
             trend = self.demand.trend()
             cpu_millis = max(cpu_millis, trend.cpu_millis)
             memory_mb = max(memory_mb, trend.memory_mb)
-        return self._workers_for(Demand(cpu_millis, memory_mb))
+        return self._count_workers(Demand(cpu_millis, memory_mb))
 
-    def _workers_for(self, short: Demand) -> int:
+    def _count_workers(self, short: Demand) -> int:
         """Return how many workers of median capacity a demand requires; 0 if no worker is known."""
         if not self.pool.loads:
             return 0
@@ -122,7 +122,7 @@
             pool=self.pool.pool,
             workers=len(self.pool.loads),
             open_workers=sum(1 for load in self.pool.loads.values() if load.can_accept_tasks(now)),
-            wanted_workers=self._workers_for(self.demand.forecast()),
+            wanted_workers=self._count_workers(self.demand.forecast()),
             busy_workers=self.reported_workers,
             arriving_cpu_millis=self.arrivals.cpu_millis(now_ms()),
             waiting_tasks=waiting,
--- a/tests/test_crash_attribution.py
+++ b/tests/test_crash_attribution.py
@@ -1,14 +1,13 @@
-"""A task that brings down each worker that starts it.
+"""A task that crashes every worker that starts it.
 
-What users saw: two jobs of one pool brought down 39 workers in 18 seconds and were still being
-tried when the day ended; a fifth of the pool's other callers was served late or given up.
+These tests guard against such a task crashing one worker after the other: two jobs of one pool once
+crashed 39 workers in 18 seconds, and a fifth of the pool's other callers got late or no service.
 
-In order: a worker starts a dozen tasks; it ends without a word some milliseconds later; its lease
-runs out; the tasks start again, together, on the next worker, which ends too. No run has ended as
-failed, so that no attempt was counted and nothing bounded the starts: one task got 28.
-
-The evidence: the log's lines of lost runs name the same task on each worker that was lost within
-milliseconds of a start, and other tasks beside it that ran well wherever it wasn't.
+A worker starts a dozen tasks and crashes some milliseconds later. Its lease expires, and the tasks
+start again together on the next worker, which crashes too. No run ends as failed, so without
+attribution no attempt counts and the starts are unlimited; one task got 28. The log's lines of lost
+runs name that task on each worker that crashed within milliseconds of a start, while the other
+tasks ran well elsewhere.
 """
 
 from __future__ import annotations
@@ -46,16 +45,16 @@
 CRASHER = job_id(500)
 CRASHING_TASK = f"{CRASHER}.0.0.0"
 
-MOST_STARTS = 5
-"""Three workers may be brought down, and two starts may follow before the job is given up."""
+MAX_STARTS = 5
+"""Three workers may crash, and two starts may follow before the job fails."""
 
 NEIGHBOURS = 6
 NEIGHBOUR_S = 0.3
-"""How long a task of the others takes: they are at work when their worker is brought down."""
+"""Duration of the other jobs' tasks, which are running when their worker crashes."""
 
 
 class CrashCase(NodeCase):
-    """A pool with jobs at work into which a job comes that brings workers down."""
+    """A pool with running jobs that gets a job that crashes workers."""
 
     workers = 4
 
@@ -70,7 +69,7 @@
         self.other = next((n for n in self.started if n is not self.owner), self.owner)
 
     async def submit_all(self) -> list[str]:
-        """Hand the crashing job in between others; return the others."""
+        """Submit the crashing job between others; return the others."""
         others = [job_id(600 + number) for number in range(NEIGHBOURS)]
         steps: list[dict[str, Any]] = [STEP, {**STEP, "dependsOn": [0]}]
         for job in others[: NEIGHBOURS // 2]:
@@ -84,30 +83,30 @@
         return [run for run in self.world.history if run.task == CRASHING_TASK]
 
     async def check_outcome(self, others: list[str]) -> None:
-        """Check that the job is given up within its bound, and no other for it."""
+        """Check that the crashing job fails within its limit of starts and the others complete."""
         await self.world.wait_state(self.other, CRASHER, "failed")
-        self.assertLessEqual(len(self.crashing_runs()), MOST_STARTS)
+        self.assertLessEqual(len(self.crashing_runs()), MAX_STARTS)
         for job in others:
             await self.world.wait_state(self.other, job, "completed")
 
 
 class CrashingTaskTest(CrashCase):
-    """The owner of the pool is there all along."""
+    """The pool keeps its owner."""
 
-    async def test_it_is_given_up_and_its_neighbours_are_not(self) -> None:
+    async def test_its_job_fails_and_other_jobs_complete(self) -> None:
         await self.check_outcome(await self.submit_all())
 
 
 class CrashingTaskSameNamesTest(CrashCase):
-    """The workers that it brings down start again under their names."""
+    """The crashed workers restart under their names."""
 
-    async def test_it_is_given_up_and_its_neighbours_are_not(self) -> None:
+    async def test_its_job_fails_and_other_jobs_complete(self) -> None:
         self.world.names_kept = True
         await self.check_outcome(await self.submit_all())
 
 
 class CrashingTaskReasonTest(CrashCase):
-    """Operators are told why the job failed, by the logs and by any node."""
+    """Operators see why the job failed, in the logs and from any node."""
 
     async def test_status_and_explain_name_the_task_and_its_workers(self) -> None:
         await self.check_outcome(await self.submit_all())
@@ -123,7 +122,7 @@
         for worker in lost:
             self.assertIn(worker, explained.stdout)
 
-    async def test_status_tells_of_a_job_that_is_not_there(self) -> None:
+    async def test_status_reports_an_unknown_job(self) -> None:
         url = f"http://{self.other.address('metrics')}"
         shown = await run("status", "--job", job_id(1), "--node", url)
         self.assertEqual(1, shown.returncode)
@@ -133,26 +132,26 @@
 
 
 class CrashingTaskTakeoverTest(CrashCase):
-    """The pool gets a new owner between two crashes."""
+    """The counted crashes survive a takeover and faults of the store."""
 
     nodes = 2
 
-    async def test_the_count_outlives_its_owner(self) -> None:
+    async def test_the_count_survives_a_takeover(self) -> None:
         others = await self.submit_all()
         await self.world.wait_for(lambda: len(self.crashing_runs()) == 2, "two starts")
         self.owner.process.kill()
         await self.check_outcome(others)
 
-    async def test_the_count_outlives_lost_answers_of_the_store(self) -> None:
+    async def test_the_count_survives_lost_responses_of_the_store(self) -> None:
         self.world.store.faults.lose_share = 0.3
         others = await self.submit_all()
         await self.check_outcome(others)
 
 
-class CrashingTaskSightTest(CrashCase):
-    """What the owner's log tells of a lost run."""
+class CrashingTaskLogTest(CrashCase):
+    """The owner's log lines of lost runs."""
 
-    async def test_lost_runs_are_told_with_their_neighbours(self) -> None:
+    async def test_lost_runs_are_logged_with_the_number_of_others(self) -> None:
         await self.submit_all()
         await self.world.wait_for(lambda: len(self.crashing_runs()) == 2, "two starts")
         lines = [
@@ -166,7 +165,7 @@
 
 
 def lose(pool: PoolState, worker: WorkerId | None) -> None:
-    """Let a worker end without a word, with all that it runs."""
+    """Let a worker crash with all its runs."""
     assert worker is not None
     load = pool.loads[worker]
     pool.note_silence(load, 0.0)
@@ -175,13 +174,13 @@
 
 
 def prove(*tasks: Task, ran_s: float = PROVEN_AFTER_S) -> None:
-    """Let runs go on, by default for longer than a program takes to start."""
+    """Let runs continue until they are proven by default."""
     for task in tasks:
         note_run_time(WorkerLoad(make_worker("any")), task, ran_s)
 
 
-class BlameTest(unittest.TestCase):
-    """Whom the loss of a worker is blamed on."""
+class AttributionTest(unittest.TestCase):
+    """To which tasks the loss of a worker is attributed."""
 
     def setUp(self) -> None:
         self.pool = make_pool(make_worker("w-1"))
@@ -192,7 +191,7 @@
     def losses(self) -> list[int]:
         return [len(task.losses) for task in (self.old, self.new, self.newer)]
 
-    def test_tasks_that_had_just_begun_are_suspected(self) -> None:
+    def test_tasks_that_had_just_started_are_suspected(self) -> None:
         prove(self.old)
         lose(self.pool, self.worker)
         self.assertEqual([0, 1, 1], self.losses())
@@ -204,36 +203,36 @@
         self.assertEqual([0, 0, 1], self.losses())
         self.assertTrue(self.newer.losses[0].sole_suspect)
 
-    def test_all_are_suspected_where_none_is_new(self) -> None:
+    def test_all_are_suspected_if_none_is_new(self) -> None:
         prove(self.old, self.new, self.newer)
         lose(self.pool, self.worker)
         self.assertEqual([1, 1, 1], self.losses())
 
-    def test_a_run_that_has_gone_on_for_long_is_not_the_cause(self) -> None:
+    def test_a_stable_run_is_not_suspected(self) -> None:
         prove(self.new, self.newer)
         prove(self.old, ran_s=STABLE_AFTER_S)
         lose(self.pool, self.worker)
         self.assertEqual([0, 1, 1], self.losses())
 
-    def test_a_planned_end_is_nobodys_doing(self) -> None:
+    def test_a_planned_end_is_attributed_to_no_task(self) -> None:
         prove(self.old, self.new, self.newer)
         self.pool.loads[WorkerId("w-1")].evacuating = True
         lose(self.pool, self.worker)
         self.assertEqual([0, 0, 0], self.losses())
 
-    def test_a_start_that_was_not_ordered_is_not_the_cause(self) -> None:
+    def test_a_start_that_was_not_ordered_is_not_suspected(self) -> None:
         self.newer.state = TaskState.PLACED
         lose(self.pool, self.worker)
         self.assertEqual([1, 1, 0], self.losses())
 
-    def test_silence_alone_proves_nothing(self) -> None:
+    def test_silence_alone_leaves_no_sole_suspect(self) -> None:
         prove(self.old, self.new)
         load = self.pool.loads[WorkerId("w-1")]
         self.pool.note_silence(load, 0.0)
         self.pool.note_lost_runs(load, ended=False)
         self.assertFalse(self.newer.losses[0].sole_suspect)
 
-    def test_a_rack_that_is_lost_has_a_cause_of_its_own(self) -> None:
+    def test_the_loss_of_a_rack_leaves_no_sole_suspect(self) -> None:
         self.pool.add_worker(make_worker("w-2")).reachable = True
         prove(self.old, self.new)
         self.pool.note_silence(self.pool.loads[WorkerId("w-2")], 0.5)
@@ -243,22 +242,24 @@
     def test_two_crashing_tasks_explain_two_losses_at_once(self) -> None:
         other = self.pool.add_worker(make_worker("w-2"))
         other.reachable = True
-        beside = submit(self.pool, make_record(StepRecord(count=1, cpu_millis=3900), job="1" * 16))
+        other_job = submit(
+            self.pool, make_record(StepRecord(count=1, cpu_millis=3900), job="1" * 16)
+        )
         run_all(self.pool)
-        self.assertIn(beside.tasks[0], other.tasks)
+        self.assertIn(other_job.tasks[0], other.tasks)
         prove(self.old, self.new)
         self.pool.note_silence(other, 0.5)
         lose(self.pool, self.worker)
         self.assertTrue(self.newer.losses[0].sole_suspect)
 
-    def test_a_worker_that_answers_again_was_not_brought_down(self) -> None:
+    def test_losses_are_retracted_if_the_worker_responds_again(self) -> None:
         load = self.pool.loads[WorkerId("w-1")]
         self.pool.note_lost_runs(load)
         self.assertEqual([1, 1, 1], self.losses())
         self.pool.retract_losses(load)
         self.assertEqual([0, 0, 0], self.losses())
 
-    def test_losses_survive_being_written_and_read(self) -> None:
+    def test_losses_survive_a_round_trip_through_the_store(self) -> None:
         lose(self.pool, self.worker)
         again = make_job(self.job.record, ROUTE, self.pool.estimates)
         again.restore(ProgressRecord.from_binary(self.job.progress(7).to_binary()))
@@ -266,7 +267,7 @@
 
 
 def suspect_again(*tasks: Task) -> None:
-    """Let another worker be lost under tasks, each of which may have been the cause."""
+    """Add an earlier loss to tasks, each of which may have been the cause."""
     for task in tasks:
         task.losses.append(
             WorkerLoss(WorkerId("earlier"), InstanceId("earlier"), sole_suspect=False)
@@ -274,7 +275,7 @@
 
 
 class SpreadTest(unittest.TestCase):
-    """After the first loss its suspects part ways and nobody else waits for them."""
+    """After a first loss the suspected tasks are spread and delay no other tasks."""
 
     def setUp(self) -> None:
         self.pool = make_pool(*(make_worker(f"w-{number}") for number in range(5)))
@@ -285,14 +286,14 @@
     def test_each_starts_on_another_worker(self) -> None:
         self.assertEqual(4, len({task.worker for task in run_all(self.pool)}))
 
-    def test_others_join_them(self) -> None:
+    def test_other_tasks_join_them(self) -> None:
         run_all(self.pool)
         submit(self.pool, make_record(StepRecord(count=100, cpu_millis=150), job="1" * 16))
         self.assertEqual(100, len(run_all(self.pool)))
 
 
-class TrialTest(unittest.TestCase):
-    """After the second loss suspects are tried alone while the others go on."""
+class QuarantineTest(unittest.TestCase):
+    """After a second loss suspected tasks are quarantined while other tasks continue."""
 
     def setUp(self) -> None:
         self.pool = make_pool(*(make_worker(f"w-{number}") for number in range(5)))
@@ -302,63 +303,64 @@
         lose(self.pool, worker)
         suspect_again(*self.suspected_tasks)
 
-    def test_each_has_a_worker_to_itself_and_half_of_them_serve_the_others(self) -> None:
-        tried = run_all(self.pool)
-        self.assertEqual(2, len({task.worker for task in tried}))
-        self.assertEqual(2, len(tried))
+    def test_each_gets_a_reserved_worker_and_half_of_the_workers_serve_others(self) -> None:
+        quarantined = run_all(self.pool)
+        self.assertEqual(2, len({task.worker for task in quarantined}))
+        self.assertEqual(2, len(quarantined))
         submit(self.pool, make_record(StepRecord(count=8, cpu_millis=100), job="1" * 16))
         others = run_all(self.pool)
         self.assertEqual(8, len(others))
-        self.assertFalse({t.worker for t in tried} & {t.worker for t in others})
+        self.assertFalse({t.worker for t in quarantined} & {t.worker for t in others})
 
-    def test_none_waits_for_long_for_its_trial(self) -> None:
-        # Workers crashed by themselves under fifty tasks of a pool that then shrank to four: the
-        # trials took half a minute, with most of the room free.
+    def test_the_wait_for_a_reserved_worker_is_limited(self) -> None:
+        # Fifty tasks were suspected, although their workers crashed for another reason, in a pool
+        # that then shrank to four workers. Without the limit their quarantine took half a minute,
+        # with most of the capacity free.
         now = 100.0
         self.assertEqual(2, len(self.pool.place(now, 0.0)))
         self.assertEqual(0, len(self.pool.place(now + MAX_QUARANTINE_WAIT_S / 2, 0.0)))
         self.assertEqual(4, len(self.pool.place(now + MAX_QUARANTINE_WAIT_S, 0.0)))
 
-    def test_one_that_runs_makes_way_for_the_next(self) -> None:
+    def test_a_proven_task_makes_way_for_the_next(self) -> None:
         for task in run_all(self.pool):
             prove(task)
             self.assertFalse(is_quarantined(task))
         self.assertEqual(2, len(run_all(self.pool)))
 
-    def test_one_that_runs_for_long_is_cleared(self) -> None:
+    def test_the_losses_of_a_stable_task_are_cleared(self) -> None:
         task, *_ = run_all(self.pool)
         prove(task, ran_s=STABLE_AFTER_S)
         self.assertEqual([], task.losses)
 
-    def test_a_worker_is_kept_until_its_new_tasks_have_shown_that_they_run(self) -> None:
+    def test_a_worker_is_reserved_until_its_new_tasks_are_proven(self) -> None:
         pool = make_pool(make_worker("w-1"))
         submit(pool, make_record(StepRecord(count=1, cpu_millis=100)))
         (suspect,) = run_all(pool)
         lose(pool, suspect.worker)
         suspect_again(suspect)
         pool.add_worker(make_worker("w-2")).reachable = True
-        beside = submit(pool, make_record(StepRecord(count=1, cpu_millis=100), job="1" * 16))
-        beside.tasks[0].state = TaskState.RUNNING
-        pool.loads[WorkerId("w-2")].add(beside.tasks[0])
-        late = submit(pool, make_record(StepRecord(count=1, cpu_millis=100), job="2" * 16))
+        other_job = submit(pool, make_record(StepRecord(count=1, cpu_millis=100), job="1" * 16))
+        other_job.tasks[0].state = TaskState.RUNNING
+        pool.loads[WorkerId("w-2")].add(other_job.tasks[0])
+        later_job = submit(pool, make_record(StepRecord(count=1, cpu_millis=100), job="2" * 16))
         self.assertEqual([], run_all(pool))
-        prove(beside.tasks[0])
+        prove(other_job.tasks[0])
         self.assertEqual([suspect], run_all(pool))
-        self.assertIs(TaskState.WAITING, late.tasks[0].state)
+        self.assertIs(TaskState.WAITING, later_job.tasks[0].state)
 
 
-class GiveUpTest(unittest.TestCase):
-    """When the job of a task that brings workers down is given up."""
+class LossLimitTest(unittest.TestCase):
+    """When the job of a task that crashes workers fails."""
 
     def setUp(self) -> None:
         self.pool = make_pool(make_worker("w-0"))
         self.job = submit(self.pool, make_record(StepRecord(count=1, cpu_millis=100)))
 
     def crash(self, instance: str, *, alone: bool = True) -> None:
-        loss = WorkerLoss(WorkerId(f"life of {instance}"), InstanceId(instance), alone)
+        loss = WorkerLoss(WorkerId(f"worker on {instance}"), InstanceId(instance), alone)
         self.pool.note_lost_run(self.job.tasks[0], loss)
 
-    def test_with_the_second_instance_that_it_alone_brought_down(self) -> None:
+    def test_it_fails_with_the_second_instance_that_only_it_can_have_crashed(self) -> None:
         self.crash("m-1")
         self.assertFalse(self.job.ended)
         self.crash("m-2")
@@ -366,12 +368,12 @@
         assert self.job.failure is not None
         self.assertEqual(SOLE_CAUSE_LIMIT, len(self.job.failure.lost_workers))
 
-    def test_not_by_an_instance_that_ends_again_and_again(self) -> None:
+    def test_it_does_not_fail_by_one_instance_that_crashes_repeatedly(self) -> None:
         for _ in range(LOSS_LIMIT - 1):
             self.crash("m-1")
         self.assertFalse(self.job.ended)
 
-    def test_not_by_what_others_can_have_caused_until_the_callers_bound(self) -> None:
+    def test_losses_with_other_suspects_count_up_to_the_promised_limit(self) -> None:
         for number in range(LOSS_LIMIT - 1):
             self.crash(f"m-{number}", alone=False)
         self.assertFalse(self.job.ended)
@@ -387,7 +389,7 @@
 
 
 class CrashModelTest(unittest.TestCase):
-    """A pool in which some tasks bring their workers down, round by round."""
+    """A simulated pool in which some tasks crash their workers."""
 
     @given(
         workers=st.integers(1, 8),
@@ -397,7 +399,7 @@
     )
     @example(workers=1, jobs=[3, 1], crashing={2}, round_s=1.0)
     @example(workers=1, jobs=[1, 1, 4, 2, 1], crashing={8, 5}, round_s=1.0)
-    def test_only_what_crashes_is_given_up_and_within_its_bound(
+    def test_only_crashing_jobs_fail_and_within_their_limit_of_starts(
         self, workers: int, jobs: list[int], crashing: set[int], round_s: float
     ) -> None:
         model = CrashModel(workers, jobs, crashing, round_s)
@@ -405,13 +407,13 @@
         for task in model.tasks:
             if task in model.crashing:
                 self.assertIs(JobPhase.FAILED, task.job.phase)
-                self.assertLessEqual(model.starts[task], MOST_STARTS)
+                self.assertLessEqual(model.starts[task], MAX_STARTS)
             elif not any(other in model.crashing for other in task.job.tasks):
                 self.assertIs(JobPhase.COMPLETED, task.job.phase)
 
 
 class CrashModel:
-    """Workers that take three rounds for a task, and are back at once after a crash."""
+    """Workers that take three rounds for a task and are replaced at once after a crash."""
 
     ROUNDS = 400
     TASK_ROUNDS = 3
@@ -427,17 +429,17 @@
         self.crashing = {self.tasks[place % len(self.tasks)] for place in crashing}
         self.starts: Counter[Task] = Counter()
         self.age: Counter[Task] = Counter()
-        self.lives = 0
+        self.restarts = 0
 
     def play(self) -> None:
-        """Play until every job has ended, or for as long as allowed."""
+        """Run rounds until every job has ended, or up to the limit."""
         for _ in range(self.ROUNDS):
             if all(task.job.ended for task in self.tasks):
                 return
             self.round()
 
     def round(self) -> None:
-        """Start what is placed, crash what crashes, age and end the rest."""
+        """Start placed tasks, crash workers with crashing tasks, and age or end the rest."""
         self.now += self.round_s
         for task in run_all(self.pool, self.now):
             self.starts[task] += 1
@@ -458,13 +460,13 @@
 
     def _crash(self, load: WorkerLoad) -> None:
         lose(self.pool, load.worker.id)
-        self.lives += 1
-        worker = replace(load.worker, id=WorkerId(f"life-{self.lives}"))
+        self.restarts += 1
+        worker = replace(load.worker, id=WorkerId(f"restart-{self.restarts}"))
         self.pool.add_worker(worker).reachable = True
 
 
-class StandingTest(unittest.TestCase):
-    """A run's standing begins anew with each start."""
+class RunStabilityTest(unittest.TestCase):
+    """A run's stability is reset at each start."""
 
     def test_new_on_each_worker(self) -> None:
         pool = make_pool(make_worker("w-1"))
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -399,7 +399,7 @@
     """Expected durations of tasks."""
 
     def test_declared_durations_are_used_at_first(self) -> None:
-        self.assertAlmostEqual(700, DurationEstimates().corrected_ms(ROUTE.name, 700))
+        self.assertAlmostEqual(700, DurationEstimates().expected_ms(ROUTE.name, 700))
 
     @given(st.floats(0.2, 5.0), st.floats(20, 20_000))
     def test_constant_factor_is_learned(self, factor: float, declared_ms: float) -> None:
@@ -407,7 +407,7 @@
         for number in range(int(PRIOR_WEIGHT) * 40):
             declared = 100.0 * (1 + number % 7)
             route.add_task(declared, declared * factor)
-        corrected = route.corrected_ms(declared_ms)
+        corrected = route.expected_ms(declared_ms)
         self.assertLess(abs(math.log(corrected / (declared_ms * factor))), 0.15)
 
     def test_useless_declarations_give_way_to_actual_durations(self) -> None:
@@ -415,8 +415,8 @@
         route = RouteEstimator()
         for _ in range(400):
             route.add_task(source.lognormvariate(7, 1), 1000.0)
-        self.assertLess(abs(route.corrected_ms(100.0) - 1000), 150)
-        self.assertLess(abs(route.corrected_ms(10_000.0) - 1000), 150)
+        self.assertLess(abs(route.expected_ms(100.0) - 1000), 150)
+        self.assertLess(abs(route.expected_ms(10_000.0) - 1000), 150)
 
 
 class StallTest(unittest.TestCase):
--- a/tests/test_takeover_model.py
+++ b/tests/test_takeover_model.py
@@ -1,9 +1,9 @@
-"""A model check of commits and takeovers: the real journal against a store that misbehaves.
+"""A randomized model check of commits and takeovers: the real journal against a faulty store.
 
-Two owners commit to one pool, one after the other, through a table that answers, loses the
-answer, does a write late, or refuses. Whatever the order, no commit of an earlier owner takes
-effect after a takeover, and each commit that is reported as recorded took effect exactly once.
-The mutants take one guard out each; the check has to find them.
+Two owners commit to one pool in succession, through a table that responds, loses the response,
+applies a write late, or refuses it. In every case no commit of the earlier owner may apply after
+the takeover, and each commit that is reported as recorded must have applied exactly once. Each
+mutant removes one safeguard, and the check must detect it.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 POOL = PoolId("main")
 PLANS = 400
 COMMITS = 4
-FATES = ("answered", "lost", "late", "refused")
+FATES = ("responded", "lost", "late", "refused")
 
 
 @dataclass
-class FickleTable:
-    """A table in memory whose answers follow a plan."""
+class FaultyTable:
+    """A table in memory with random faults."""
 
     chance: random.Random
     dropped_condition: str = ""
-    """A mutant: conditions on this key are not checked."""
+    """The key whose conditions a mutant does not check."""
     rows: dict[str, Row] = field(default_factory=dict)
     version: int = 0
     late: list[Transaction] = field(default_factory=list)
@@ -52,7 +52,7 @@
     """Writes in the order in which they took effect: version and key."""
 
     def apply(self, transaction: Transaction) -> Result[int, Fault]:
-        """Do a transaction if its conditions hold."""
+        """Apply a transaction if its conditions hold."""
         for condition in transaction.conditions:
             if condition.key == self.dropped_condition:
                 continue
@@ -66,19 +66,19 @@
             self.applied.append((self.version, write.key))
         return Ok(self.version)
 
-    def let_late_ones_happen(self) -> None:
-        """Do some of the writes that were put off."""
+    def apply_late_ones(self) -> None:
+        """Apply some of the delayed writes."""
         for transaction in list(self.late):
             if self.chance.random() < 0.5:
                 self.late.remove(transaction)
                 self.apply(transaction)
 
     async def transact(self, transaction: Transaction) -> Result[int, Fault]:
-        """Do, lose, put off or refuse a transaction."""
+        """Apply, delay or refuse a transaction, or lose its response."""
         await anyio.lowlevel.checkpoint()
-        self.let_late_ones_happen()
+        self.apply_late_ones()
         match self.chance.choice(FATES):
-            case "answered":
+            case "responded":
                 return self.apply(transaction)
             case "lost":
                 self.apply(transaction)
@@ -90,13 +90,13 @@
                 return Error(Unavailable("refused"))
 
     async def read(self, key: str) -> Result[Row, Fault]:
-        """Read a row as it is now."""
-        self.let_late_ones_happen()
+        """Read the current row."""
+        self.apply_late_ones()
         return Ok(self.rows.get(key, Row(key, b"", 0)))
 
 
-class ForgetfulJournal(Journal):
-    """A mutant that never conditions on its last commit, so that one may apply twice."""
+class UnconditionalJournal(Journal):
+    """A mutant without the condition on its last commit, so that a commit may apply twice."""
 
     def _transaction(self, writes: list[Write]) -> tuple[Transaction, bytes]:
         transaction, record = super()._transaction(writes)
@@ -105,9 +105,9 @@
 
 
 async def play(seed: int, journal: type[Journal], dropped: str = "") -> list[str]:
-    """Play one plan; return what was broken."""
+    """Run one plan; return the violations."""
     chance = random.Random(seed)
-    table = FickleTable(chance, dropped)
+    table = FaultyTable(chance, dropped)
     taken: list[int] = []
     recorded: list[str] = []
 
@@ -116,10 +116,10 @@
             await anyio.lowlevel.checkpoint()
         key = owner_key(POOL)
         before = table.rows.get(key, Row(key, b"", 0)).version
-        taken_now = table.apply(Transaction([Condition(key, before)], [Write(key, name.encode())]))
-        assert taken_now.is_ok()
-        taken.append(taken_now.ok)
-        owner = journal(table, Ownership(POOL, taken_now.ok, name, 0.0))  # type: ignore[arg-type]
+        acquired = table.apply(Transaction([Condition(key, before)], [Write(key, name.encode())]))
+        assert acquired.is_ok()
+        taken.append(acquired.ok)
+        owner = journal(table, Ownership(POOL, acquired.ok, name, 0.0))  # type: ignore[arg-type]
         await owner.load()
         for number in range(COMMITS):
             try:
@@ -132,12 +132,12 @@
         tasks.start_soon(own, "first", 0)
         tasks.start_soon(own, "second", chance.randrange(1, 40))
     for _ in range(20):
-        table.let_late_ones_happen()
-    return broken(table, taken, recorded)
+        table.apply_late_ones()
+    return find_violations(table, taken, recorded)
 
 
-def broken(table: FickleTable, taken: list[int], recorded: list[str]) -> list[str]:
-    """Judge by what the table saw, not by what the owners believe."""
+def find_violations(table: FaultyTable, taken: list[int], recorded: list[str]) -> list[str]:
+    """Return violations, judged by the table's history and not by the owners' state."""
     found = []
     counts = {key: [v for v, k in table.applied if k == key] for _, key in table.applied}
     for key in recorded:
@@ -152,7 +152,7 @@
 
 
 class TakeoverModelTest(unittest.TestCase):
-    """Many plans, and two mutants that must be found."""
+    """Many plans, and two mutants that must be detected."""
 
     def search(self, journal: type[Journal], dropped: str = "") -> list[str]:
         async def search() -> list[str]:
@@ -177,13 +177,13 @@
     def test_commits_apply_once_and_never_after_a_takeover(self) -> None:
         self.assertEqual([], self.search(Journal))
 
-    def test_finds_a_missing_fence(self) -> None:
+    def test_detects_a_missing_fencing_condition(self) -> None:
         self.assertNotEqual([], self.search(Journal, owner_key(POOL)))
 
-    def test_finds_a_commit_that_may_apply_twice(self) -> None:
-        self.assertNotEqual([], self.search(ForgetfulJournal))
+    def test_detects_a_commit_that_may_apply_twice(self) -> None:
+        self.assertNotEqual([], self.search(UnconditionalJournal))
 
-    def test_fates_are_all_played(self) -> None:
+    def test_all_fates_occur(self) -> None:
         chance = random.Random(1)
         drawn = {chance.choice(FATES) for _ in itertools.repeat(None, 100)}
         self.assertEqual(set(FATES), drawn)
--- a/tests/test_worker_capacity.py
+++ b/tests/test_worker_capacity.py
@@ -102,7 +102,7 @@
 
 
 class ShrunkWorkerTest(NodeCase):
-    """All workers but one shrink to a single task each, and grow again."""
+    """Workers shrink to a single task each, and one of them grows again."""
 
     async def test_shrunk_workers_get_no_more_tasks_than_they_fit(self) -> None:
         for worker in self.world.workers.values():
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -100,7 +100,7 @@
         )
 
     def may_renew_leases(self, now: float) -> bool:
-        """Always permit renewals."""
+        """Permit every renewal."""
         return True
 
     def wake(self) -> None:
