--- a/pumicespur/jobs/_demand.py
+++ b/pumicespur/jobs/_demand.py
@@ -63,7 +63,7 @@
     """Demand of the running tasks of a pool and of those that are ready to start."""
 
     short: Demand = Demand()
-    """Short tasks; waiting ones count with `WAITING_WEIGHT`, or not at all if overdue."""
+    """Running short tasks, and waiting ones that are not overdue, with `WAITING_WEIGHT`."""
     long_running: Demand = Demand()
     """Long-running tasks, running or waiting."""
     waiting: Demand = Demand()
--- a/pumicespur/jobs/_job.py
+++ b/pumicespur/jobs/_job.py
@@ -158,7 +158,7 @@
     @property
     def name(self) -> str:
         """Return the name of the step in calls to the advice service."""
-        return f"{self.job.id}.{self.repeat}.{self.number}"
+        return f"{self.job.id}.{self.repeat}.{self.step}"
 
     def ticket(self, worker: WorkerId, now: float) -> str:
         """Return a worker's ticket, or an empty string if none is valid for long enough."""
