--- a/pumicespur/jobs/_crash_attribution.py
+++ b/pumicespur/jobs/_crash_attribution.py
@@ -186,5 +186,5 @@
 
 def exceeds_loss_limit(task: Task) -> bool:
     """Whether a task has crashed so many workers that its job fails."""
-    sole_suspect_of = {loss.instance for loss in task.losses if loss.sole_suspect}
-    return len(sole_suspect_of) >= SOLE_CAUSE_LIMIT or len(task.losses) >= LOSS_LIMIT
+    sole_crashes = {loss.instance for loss in task.losses if loss.sole_suspect}
+    return len(sole_crashes) >= SOLE_CAUSE_LIMIT or len(task.losses) >= LOSS_LIMIT
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -169,7 +169,7 @@
                 self.tasks.start_soon(self.submissions.cleanup.run)
                 self.tasks.start_soon(self._requeue_unlisted)
                 self.tasks.start_soon(AdviceClient(self.pool, self.orders).run)
-                await self._rounds()
+                await self._run_rounds()
                 self.tasks.cancel_scope.cancel()
         except* OwnershipLostError as lost:
             reason = str(lost.exceptions[0])
@@ -278,7 +278,7 @@
     def _session_of(self, task: Task) -> WorkerSession | None:
         return self.watches.get(task.worker) if task.worker else None
 
-    def forget(self, worker: WorkerId) -> None:
+    def drop_session(self, worker: WorkerId) -> None:
         """Drop the session of an ended incarnation."""
         self.watches.pop(worker, None)
 
@@ -332,7 +332,7 @@
             log.info("job ended", job=task.job.id, phase=task.job.phase.name)
         self.wake()
 
-    async def _rounds(self) -> None:
+    async def _run_rounds(self) -> None:
         """Repeat rounds: place tasks, record changes, then send the recorded orders."""
         while True:
             with anyio.move_on_after(MAX_ROUND_INTERVAL_S):
@@ -349,11 +349,11 @@
                 self.allotments.report_new_shortfalls()
                 self.sizer.update(monotonic())
                 self._throttle()
-            batch = self._collect()
+            batch = self._collect_batch()
             idle_s = monotonic() - self.journal.confirmed_at
             if batch.writes or idle_s > IDLE_COMMIT_INTERVAL_S:
                 await self.journal.commit(batch.writes)
-            self._carry_out(batch)
+            self._execute_batch(batch)
             if self.stopping and not self.pool.dirty:
                 await self.journal.release(self.settings.process.id)
                 return
@@ -422,7 +422,7 @@
         if has_news:
             self.request_report()
 
-    def _collect(self) -> Batch:
+    def _collect_batch(self) -> Batch:
         """Collect changes for a commit; acknowledge ends only if it includes every change."""
         batch = Batch()
         now = now_ms()
@@ -463,7 +463,7 @@
             self.submissions.ended.pop(job, None)
             batch.writes.append(Write(progress_key(self.pool.pool, job), None))
 
-    def _carry_out(self, batch: Batch) -> None:
+    def _execute_batch(self, batch: Batch) -> None:
         now = now_ms()
         # The commit may have taken long: apply what was received meanwhile before sending orders.
         self._update_evacuations()
--- a/pumicespur/jobs/_session_owner.py
+++ b/pumicespur/jobs/_session_owner.py
@@ -50,5 +50,5 @@
     def note_revoked(self, worker: WorkerId, run: RunKey) -> None:
         """Note that a run was revoked whose start order may still be executed late."""
 
-    def forget(self, worker: WorkerId) -> None:
+    def drop_session(self, worker: WorkerId) -> None:
         """Drop the session of an ended incarnation."""
--- a/pumicespur/jobs/_worker_session.py
+++ b/pumicespur/jobs/_worker_session.py
@@ -59,7 +59,7 @@
         self.recorded = 0
         """Number of the newest end that is recorded."""
         self.acknowledged = 0
-        """Number up to which the worker may be told to drop its ends, see `_end_to_acknowledge`."""
+        """Number up to which the worker may drop its ends, see `_end_to_acknowledge`."""
         self.has_retained_ends = False
         """Whether the last status listed ends that can't be acknowledged yet.
 
@@ -89,7 +89,7 @@
             elif not await self._poll(now):
                 await anyio.sleep(RETRY_DELAY_S)
             self._check_lease_expiry()
-        self.owner.forget(self.id)
+        self.owner.drop_session(self.id)
 
     async def _revoke_again(self) -> None:
         """Revoke runs on a new incarnation before anything else, repeated until it confirms."""
--- a/tests/test_crash_attribution.py
+++ b/tests/test_crash_attribution.py
@@ -114,8 +114,8 @@
         shown = await run("status", "--job", CRASHER, "--node", url)
         self.assertEqual(0, shown.returncode, shown.stderr)
         self.assertIn(f"task {CRASHING_TASK} brought down", shown.stdout)
-        told = await run("status", "--json", "--job", CRASHER, "--node", url)
-        lost = json.loads(told.stdout)["lost_workers"]
+        printed = await run("status", "--json", "--job", CRASHER, "--node", url)
+        lost = json.loads(printed.stdout)["lost_workers"]
         self.assertEqual([r.worker for r in self.crashing_runs()], lost)
         explained = await run("explain", CRASHER, str(self.owner.log))
         self.assertIn("job given up", explained.stdout)
--- a/tests/test_incarnations_model.py
+++ b/tests/test_incarnations_model.py
@@ -389,7 +389,7 @@
             async with anyio.create_task_group() as owner.tasks:
                 self.owner = owner
                 owner.sync_workers()
-                owner.tasks.start_soon(owner._rounds)
+                owner.tasks.start_soon(owner._run_rounds)
         except* OwnershipLostError as lost:
             raise lost.exceptions[0] from None
 
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -123,7 +123,7 @@
     def note_revoked(self, worker: WorkerId, run: Any) -> None:
         """Do nothing."""
 
-    def forget(self, worker: WorkerId) -> None:
+    def drop_session(self, worker: WorkerId) -> None:
         """Do nothing."""
 
 
