--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -359,7 +359,7 @@
                 return
 
     def _update_limits(self, now: float) -> None:
-        """Apply the newest account limits; mark them stale while newer ones may be in force."""
+        """Apply the newest account limits; mark them stale once newer ones must be in force."""
         limits = self.pool.limits
         limits.set_accounts(self.view.configuration.accounts)
         settings = self.settings
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -36,7 +36,7 @@
 """Jobs that end before the restart; the next incarnation lists fewer ends at first."""
 
 ENTRY_DELAY_S = 0.6
-"""Delay of a new incarnation's entry; negative if it comes before the restart."""
+"""By how much the entry of a new incarnation comes late or, negated, early."""
 
 
 class RestartCase(NodeCase):
