--- a/pumicespur/commands/explain.py
+++ b/pumicespur/commands/explain.py
@@ -21,9 +21,9 @@
         "pool lost",
         "pool released",
         "commit not answered",
-        "worker lost",
+        "worker unreachable",
         "worker gone",
-        "worker left out",
+        "worker ejected",
         "configuration in force",
     }
 )
--- /dev/null
+++ b/pumicespur/jobs/_advice_client.py
@@ -0,0 +1,75 @@
+"""Client of the advice service, which issues tickets for running a step on given workers."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import anyio
+from expression import Result
+from logbook import Logger
+
+from pumicespur.jobs._placement import order_groups
+from pumicespur.utils import monotonic, now_ms
+
+if TYPE_CHECKING:
+    from pumicespur.jobs._job import StepGroup
+    from pumicespur.jobs._pool import PoolState
+    from pumicespur.model import WorkerId
+    from pumicespur.platform import WorkerOrders
+
+log = Logger(__name__)
+
+MAX_WORKERS_PER_CALL = 16
+"""Workers in one call: enough to spread a step; the response takes a tenth of a second."""
+
+IDLE_POLL_INTERVAL_S = 0.05
+"""Pause while no step needs tickets."""
+
+RETRY_DELAY_S = 0.3
+"""Pause after the service refused or did not respond; it handles one call at a time."""
+
+
+class AdviceClient:
+    """Requests tickets, one call at a time, for the step with the highest priority first."""
+
+    def __init__(self, pool: PoolState, orders: WorkerOrders) -> None:
+        self.pool = pool
+        self.orders = orders
+
+    async def run(self) -> None:
+        """Request tickets for as long as the pool is owned."""
+        while True:
+            group = self._next_group()
+            if group is None:
+                await anyio.sleep(IDLE_POLL_INTERVAL_S)
+            elif not await self._request_tickets(group):
+                await anyio.sleep(RETRY_DELAY_S)
+
+    def _next_group(self) -> StepGroup | None:
+        now = monotonic()
+        for group in order_groups(self.pool.jobs.values(), now_ms()):
+            if group.job.advised and not group.has_tickets(now) and self._candidates(group):
+                return group
+        return None
+
+    def _candidates(self, group: StepGroup) -> list[WorkerId]:
+        now = monotonic()
+        loads = [load for load in self.pool.loads.values() if load.can_take(group, now)]
+        loads.sort(key=lambda load: (load.utilization(), load.worker.id))
+        return [load.worker.id for load in loads[:MAX_WORKERS_PER_CALL]]
+
+    async def _request_tickets(self, group: StepGroup) -> bool:
+        requested_at = monotonic()
+        workers = self._candidates(group)
+        response = await self.orders.advise(group.name, workers)
+        match response:
+            case Result(tag="ok", ok=(tickets, valid_s)):
+                # Validity counts from the request, so that no ticket is used after it expires.
+                group.tickets = {
+                    worker: (ticket, requested_at + valid_s) for worker, ticket in tickets.items()
+                }
+                log.info("advice received", job=group.job.id, step=group.name, workers=len(tickets))
+                return bool(tickets)
+            case Result(error=error):
+                log.warning("advice not received", step=group.name, reason=str(error))
+                return False
--- a/pumicespur/jobs/_limits.py
+++ b/pumicespur/jobs/_limits.py
@@ -1,7 +1,7 @@
-"""Whether an account's next task may start in a pool, and the pool's parts of all limits.
+"""Account limits in one pool: whether a task may start, and the pool's allotment of each limit.
 
-Decisions only: nothing here waits, reads or writes. The owner of a pool asks before each
-placement, records what changed with its next commit, and tells the other owners what it lacks.
+Pure decisions without I/O. The owner of a pool checks them before each placement, records changed
+ledgers with its next commit, and reports shortfalls to the owners of other pools.
 """
 
 from __future__ import annotations
@@ -9,9 +9,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from pumicespur.jobs._account_use import AccountUse, Use
-from pumicespur.jobs._gifts import AccountPart, OtherPart, make_wish, owed, place_of
-from pumicespur.jobs._ledger import WHOLE, Ledger, founding_part
+from pumicespur.jobs._account_usage import AccountUsage, ResourceUsage
+from pumicespur.jobs._ledger import WHOLE_LIMIT, Ledger, compute_founding_allotment
+from pumicespur.jobs._limit_transfers import (
+    Allotment,
+    PeerAllotment,
+    compute_due_amount,
+    compute_rank,
+    make_transfer_request,
+)
 from pumicespur.model import AccountId, Capacity, PoolId
 from pumicespur.schema.jobs_pb import PartReport, PartTransfer
 
@@ -21,39 +27,43 @@
     from pumicespur.model import ClientAccount
     from pumicespur.schema.jobs_pb import PartRecord, StepRecord
 
-LEAST_GIFT = WHOLE // 100
-"""Smallest gift, unless it is all that is lacking or lets a task start; each costs two writes."""
+MIN_TRANSFER = WHOLE_LIMIT // 100
+"""Smallest transfer, unless it covers the whole request or lets a task start; each one costs two
+writes."""
 
-REPORTED_ACCOUNTS = 200
-"""Accounts in one report: some 60 bytes each, so that it stays far below a row's 64 KB."""
+MAX_REPORTED_ACCOUNTS = 200
+"""Bounds the accounts in a report: at about 60 bytes each, it stays far below a row's 64 KB."""
 
 UNLIMITED = Capacity(0, 0)
 
 
 @dataclass
 class PoolLimits:
-    """The limits of all accounts in one pool; without other pools it holds them whole."""
+    """Limits of all accounts in one pool; without other pools it holds the whole limits."""
 
     pool: PoolId
-    use: AccountUse = field(default_factory=AccountUse)
+    usage: AccountUsage = field(default_factory=AccountUsage)
     accounts: Mapping[AccountId, ClientAccount] = field(default_factory=dict)
     founders: Sequence[PoolId] = ()
-    parts: dict[AccountId, AccountPart] = field(default_factory=dict)
+    allotments: dict[AccountId, Allotment] = field(default_factory=dict)
     known_limits: dict[AccountId, Capacity] = field(default_factory=dict)
-    """Limits of accounts that the operators have dropped while their jobs were there."""
+    """Last limits of accounts that were removed from the configuration."""
     changed: dict[AccountId, None] = field(default_factory=dict)
-    """Accounts whose ledger is to be recorded, oldest first."""
-    doubtful: bool = False
-    """Another configuration has been in force elsewhere for too long for its limits to be passed
-    over, and is not known here."""
-    lacking: set[AccountId] = field(default_factory=set)
-    asked: set[AccountId] = field(default_factory=set)
-    """Accounts of which another pool waits to hear what was taken from it, or what is used."""
-    unsettled: set[AccountId] = field(default_factory=set)
-    withholding: set[AccountId] = field(default_factory=set)
+    """Accounts whose ledger has to be recorded, oldest first."""
+    stale: bool = False
+    """A newer configuration, not known here, has been in force elsewhere for so long that its
+    limits must be observed."""
+    blocked_accounts: set[AccountId] = field(default_factory=set)
+    """Accounts with tasks that were blocked by their limit in this round."""
+    awaited_accounts: set[AccountId] = field(default_factory=set)
+    """Accounts for which another pool waits for a report, of a transfer taken or of the usage."""
+    unconfirmed: set[AccountId] = field(default_factory=set)
+    """Accounts with transfers that another pool is not known to have taken."""
+    withheld_accounts: set[AccountId] = field(default_factory=set)
+    """Accounts with a part of the allotment withheld for other pools."""
 
     def set_accounts(self, accounts: Mapping[AccountId, ClientAccount]) -> None:
-        """Judge by another configuration from now on."""
+        """Apply the accounts of a configuration."""
         if accounts is self.accounts:
             return
         for name, account in self.accounts.items():
@@ -62,145 +72,157 @@
         self.accounts = accounts
 
     def set_founders(self, founders: Sequence[PoolId]) -> None:
-        """Learn which pools held equal parts at first."""
+        """Set the pools that initially hold equal allotments."""
         self.founders = founders
 
     def restore(self, records: Iterable[PartRecord]) -> None:
-        """Take over what earlier owners of the pool recorded."""
+        """Restore the ledgers recorded by earlier owners of the pool."""
         for record in records:
             account = AccountId(record.account)
-            part = self.part_of(account)
-            part.ledger.restore(record)
-            self._note_settled(account, part)
+            allotment = self.allotment_of(account)
+            allotment.ledger.restore(record)
+            self._update_unconfirmed(account, allotment)
 
     def limit_of(self, account: AccountId) -> Capacity:
-        """Return an account's limit; one that is declared no more keeps its last one."""
+        """Return an account's limit; a removed account keeps its last one."""
         declared = self.accounts.get(account)
         return declared.limit if declared else self.known_limits.get(account, UNLIMITED)
 
-    def part_of(self, account: AccountId) -> AccountPart:
-        """Return an account's part here."""
-        part = self.parts.get(account)
-        if part is None:
-            founding = founding_part(self.pool, self.founders) if self.founders else WHOLE
-            part = self.parts[account] = AccountPart(Ledger(account, founding))
-        return part
+    def allotment_of(self, account: AccountId) -> Allotment:
+        """Return an account's allotment in this pool."""
+        allotment = self.allotments.get(account)
+        if allotment is None:
+            founding = (
+                compute_founding_allotment(self.pool, self.founders)
+                if self.founders
+                else WHOLE_LIMIT
+            )
+            allotment = self.allotments[account] = Allotment(Ledger(account, founding))
+        return allotment
 
     def begin_round(self) -> None:
-        """Forget which tasks were blocked."""
-        for account in self.lacking:
-            part = self.parts[account]
-            part.blocked, part.lacking, part.needed = Use(), 0, 0
-        self.lacking.clear()
+        """Clear the blocked tasks of the previous placement round."""
+        for account in self.blocked_accounts:
+            allotment = self.allotments[account]
+            allotment.blocked, allotment.shortfall, allotment.needed = ResourceUsage(), 0, 0
+        self.blocked_accounts.clear()
 
     def allows(self, account: AccountId, task: StepRecord, now: float, count: int = 1) -> bool:
-        """Whether one more task of an account may start here, or several together."""
+        """Whether a task of an account may start in this pool, or `count` of them at once."""
         if not account:
             return True
         limit = self.limit_of(account)
         if limit == UNLIMITED:
             return True
-        if self.doubtful:
+        if self.stale:
             return False
-        part = self.part_of(account)
-        used = self.use.of(account)
+        allotment = self.allotment_of(account)
+        used = self.usage.of(account)
         share = used.share_of(limit, task, count)
-        # A task that is larger than the whole limit runs alone: it could never start otherwise.
-        alone = not used.tasks and part.available >= WHOLE
-        if share > part.available and not alone:
+        # A task that is larger than the whole limit may run alone; it could never start otherwise.
+        alone = not used.tasks and allotment.available >= WHOLE_LIMIT
+        if share > allotment.available and not alone:
             return False
-        part.note_used(share, now)
+        allotment.note_used(share, now)
         return True
 
-    def within(self, account: AccountId) -> bool:
-        """Whether what is counted of an account fits its part, which may have shrunk since."""
+    def fits_allotment(self, account: AccountId) -> bool:
+        """Whether an account's usage fits its allotment, which may have shrunk meanwhile."""
         limit = self.limit_of(account)
         if not account or limit == UNLIMITED:
             return True
-        used = self.use.of(account)
-        fits = used.share_of(limit) <= self.part_of(account).available or used.tasks <= 1
-        return fits and not self.doubtful
+        used = self.usage.of(account)
+        fits = used.share_of(limit) <= self.allotment_of(account).available or used.tasks <= 1
+        return fits and not self.stale
 
     def note_blocked(
-        self, account: AccountId, task: StepRecord, count: int, together: int = 1
+        self, account: AccountId, task: StepRecord, count: int, batch_size: int = 1
     ) -> None:
-        """Note tasks that could start on the workers but for the part, so many at once."""
+        """Note tasks that fit on workers but exceed the allotment; `batch_size` start at once."""
         limit = self.limit_of(account)
-        part = self.part_of(account)
-        used = self.use.of(account)
-        self.lacking.add(account)
-        if not part.needed or part.needed + part.used_elsewhere > WHOLE:
-            # The first task for which there can be room now; before runs end, others can't start.
-            needed = used.share_of(limit, task, together)
-            part.needed = needed if used.tasks else min(WHOLE, needed)
-        part.blocked.add(task, count)
-        wanted = used.share_of(limit) + part.blocked.share_of(limit)
-        part.lacking = max(0, min(WHOLE, wanted) - part.available)
-
-    def hear(self, others: Mapping[AccountId, Sequence[OtherPart]], now: float) -> bool:
-        """Take what other pools gave, and give to those that lack; return whether parts moved."""
+        allotment = self.allotment_of(account)
+        used = self.usage.of(account)
+        self.blocked_accounts.add(account)
+        if not allotment.needed or allotment.needed + allotment.used_elsewhere > WHOLE_LIMIT:
+            # Counts the first task that a transfer can help. A task that does not fit beside the
+            # usage of other pools can't start before runs there have ended.
+            needed = used.share_of(limit, task, batch_size)
+            allotment.needed = needed if used.tasks else min(WHOLE_LIMIT, needed)
+        allotment.blocked.add(task, count)
+        wanted = used.share_of(limit) + allotment.blocked.share_of(limit)
+        allotment.shortfall = max(0, min(WHOLE_LIMIT, wanted) - allotment.available)
+
+    def apply_reports(
+        self, peer_allotments: Mapping[AccountId, Sequence[PeerAllotment]], now: float
+    ) -> bool:
+        """Take transfers from other pools and give to those with a shortfall.
+
+        Returns whether allotments changed.
+        """
         before = len(self.changed)
-        self.asked = set()
-        for account, told in others.items():
-            part = self.part_of(account)
-            for other in told:
-                ever_given = other.given_to(self.pool)
-                if ever_given or other.report.lacking > 0:
-                    self.asked.add(account)
-                if part.ledger.take(other.pool, ever_given):
+        self.awaited_accounts = set()
+        for account, peers in peer_allotments.items():
+            allotment = self.allotment_of(account)
+            for peer in peers:
+                ever_given = peer.given_to(self.pool)
+                if ever_given or peer.report.lacking > 0:
+                    self.awaited_accounts.add(account)
+                if allotment.ledger.take(peer.pool, ever_given):
                     self.changed[account] = None
-                seen = max(part.seen_taken.get(other.pool, 0), other.taken_from(self.pool))
-                part.seen_taken[other.pool] = seen
-            self._give(account, part, told, now)
-            self._note_settled(account, part)
-        for account in self.withholding - others.keys():
-            self.parts[account].withheld = 0
-        self.withholding = {account for account in others if self.parts[account].withheld}
+                taken = max(allotment.confirmed_taken.get(peer.pool, 0), peer.taken_from(self.pool))
+                allotment.confirmed_taken[peer.pool] = taken
+            self._decide_transfers(account, allotment, peers, now)
+            self._update_unconfirmed(account, allotment)
+        for account in self.withheld_accounts - peer_allotments.keys():
+            self.allotments[account].withheld = 0
+        self.withheld_accounts = {
+            account for account in peer_allotments if self.allotments[account].withheld
+        }
         return len(self.changed) > before
 
-    def _give(
-        self, account: AccountId, part: AccountPart, told: Sequence[OtherPart], now: float
+    def _decide_transfers(
+        self, account: AccountId, allotment: Allotment, peers: Sequence[PeerAllotment], now: float
     ) -> None:
-        """Decide what each pool that lacks gets, the one that holds least first."""
-        part.withheld = 0
-        used = self.use.of(account).share_of(self.limit_of(account))
-        part.used_elsewhere = sum(other.report.used for other in told)
-        all_used = used + part.used_elsewhere
-        place = place_of(self.pool, used, part.needed, part.used_elsewhere)
-        lacking = [other for other in told if other.report.lacking > 0]
-        for other in sorted(lacking, key=lambda other: (other.report.held, other.pool)):
-            wish = make_wish(part, self.pool, other, all_used)
-            if wish.amount <= 0:
+        """Decide the transfer to each pool with a shortfall, the smallest allotment first."""
+        allotment.withheld = 0
+        used = self.usage.of(account).share_of(self.limit_of(account))
+        allotment.used_elsewhere = sum(peer.report.used for peer in peers)
+        all_used = used + allotment.used_elsewhere
+        rank = compute_rank(self.pool, used, allotment.needed, allotment.used_elsewhere)
+        short_peers = [peer for peer in peers if peer.report.lacking > 0]
+        for peer in sorted(short_peers, key=lambda peer: (peer.report.held, peer.pool)):
+            request = make_transfer_request(allotment, self.pool, peer, all_used)
+            if request.amount <= 0:
                 continue
-            due = owed(part, wish, place, used, now)
-            gift = min(due, max(0, part.available - used))
-            part.withheld += due - gift
-            if gift >= min(wish.amount, LEAST_GIFT) or gift >= wish.short > 0:
-                part.ledger.give(other.pool, gift)
+            due = compute_due_amount(allotment, request, rank, used, now)
+            amount = min(due, max(0, allotment.available - used))
+            allotment.withheld += due - amount
+            if amount >= min(request.amount, MIN_TRANSFER) or amount >= request.short > 0:
+                allotment.ledger.give(peer.pool, amount)
                 self.changed[account] = None
 
-    def _note_settled(self, account: AccountId, part: AccountPart) -> None:
-        if part.unsettled():
-            self.unsettled.add(account)
+    def _update_unconfirmed(self, account: AccountId, allotment: Allotment) -> None:
+        if allotment.has_unconfirmed_transfers():
+            self.unconfirmed.add(account)
         else:
-            self.unsettled.discard(account)
+            self.unconfirmed.discard(account)
 
     def reports(self) -> list[PartReport]:
-        """Tell the other owners what is lacking here and what changed hands."""
-        lacking = sorted(self.lacking)
-        others = sorted((self.asked | self.unsettled) - self.lacking)
-        return [self._report(account) for account in [*lacking, *others][:REPORTED_ACCOUNTS]]
+        """Return the reports to the other owners: shortfalls, usage and transfers."""
+        blocked = sorted(self.blocked_accounts)
+        others = sorted((self.awaited_accounts | self.unconfirmed) - self.blocked_accounts)
+        return [self._report(account) for account in [*blocked, *others][:MAX_REPORTED_ACCOUNTS]]
 
     def _report(self, account: AccountId) -> PartReport:
-        part = self.part_of(account)
-        ledger = part.ledger
+        allotment = self.allotment_of(account)
+        ledger = allotment.ledger
         pools = sorted({*ledger.recorded_given, *ledger.taken})
         return PartReport(
             account=account,
-            held=ledger.part,
-            used=self.use.of(account).share_of(self.limit_of(account)),
-            lacking=part.lacking,
-            needed=part.needed,
+            held=ledger.allotment,
+            used=self.usage.of(account).share_of(self.limit_of(account)),
+            lacking=allotment.shortfall,
+            needed=allotment.needed,
             transfers=[
                 PartTransfer(
                     pool=pool,
@@ -212,19 +234,19 @@
         )
 
     def take_changed(self, count: int) -> list[PartRecord]:
-        """Return ledgers to be recorded, at most so many; they are forgotten here."""
+        """Remove and return up to `count` ledgers that have to be recorded."""
         chosen = list(self.changed)[:count]
         for account in chosen:
             del self.changed[account]
-        return [self.part_of(account).ledger.record() for account in chosen]
+        return [self.allotment_of(account).ledger.record() for account in chosen]
 
     def note_recorded(self, records: Iterable[PartRecord]) -> bool:
-        """Note that ledgers are in the store; return whether other owners are to hear of it."""
-        news = False
+        """Note that ledgers are recorded; return whether other owners need a report of them."""
+        has_news = False
         for record in records:
             account = AccountId(record.account)
-            part = self.part_of(account)
-            part.ledger.note_recorded(record)
-            self._note_settled(account, part)
-            news = news or account in self.unsettled or account in self.asked
-        return news
+            allotment = self.allotment_of(account)
+            allotment.ledger.note_recorded(record)
+            self._update_unconfirmed(account, allotment)
+            has_news = has_news or account in self.unconfirmed or account in self.awaited_accounts
+        return has_news
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -1,4 +1,4 @@
-"""The state of one pool in its owner's memory: jobs, workers, and what changed."""
+"""In-memory state of a pool at its owner: jobs, workers, and unrecorded changes."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from logbook import Logger
 
-from pumicespur.jobs._crashes import (
-    TOGETHER_S,
-    blame,
-    forgive,
-    has_new,
-    is_hopeless,
-    reserve_workers,
+from pumicespur.jobs._crash_attribution import (
+    COMMON_CAUSE_WINDOW_S,
+    attribute_crash,
+    exceeds_loss_limit,
+    has_unproven_tasks,
+    reserve_quarantine_workers,
+    retract_worker_loss,
 )
 from pumicespur.jobs._describe import explain_failure
-from pumicespur.jobs._estimates import Estimates
+from pumicespur.jobs._estimates import DurationEstimates
+from pumicespur.jobs._fair_share import FairShareMeter
 from pumicespur.jobs._job import TaskState, make_job
 from pumicespur.jobs._limits import PoolLimits
-from pumicespur.jobs._load import WorkerLoad
 from pumicespur.jobs._placement import order_groups, place_groups
-from pumicespur.jobs._shares import ShareMeter
+from pumicespur.jobs._worker_load import WorkerLoad
 from pumicespur.model import JobId, RouteName, RunEnd, TaskName, WorkerId, worker_name
 from pumicespur.schema.jobs_pb import FailureRecord, JobPhase
 from pumicespur.utils import monotonic
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Container, Sequence
 
-    from pumicespur.jobs._job import Job, Loss, Task
+    from pumicespur.jobs._job import Job, Task, WorkerLoss
     from pumicespur.model import (
         AccountId,
         Capacity,
@@ -48,13 +48,16 @@
 RunKey: TypeAlias = tuple[TaskName, int]
 """A task and the number of its run."""
 
-SILENCES_KEPT_S = 30.0
-"""How long a silence is remembered: longer than the lease of a worker that fell silent with it."""
+SILENCE_RETENTION_S = 30.0
+"""Longer than the lease of a worker that stopped answering at the same time."""
 
 
 @dataclass(frozen=True)
 class Silence:
-    """A worker that stopped answering (monotonic seconds) without a task that explains it."""
+    """A worker that stopped answering, with no newly started task that could have crashed it.
+
+    `at` is in monotonic seconds.
+    """
 
     worker: WorkerId
     rack: Rack
@@ -63,103 +66,103 @@
 
 @dataclass(frozen=True)
 class InheritedRun:
-    """A run that an earlier owner ordered, and whose it is."""
+    """A run started by an earlier owner of the pool, with its account."""
 
     account: AccountId
     record: LeftRun
 
     @property
     def key(self) -> RunKey:
-        """Return what tells the run from others."""
+        """Return the key that identifies the run."""
         return TaskName(self.record.task), self.record.run
 
 
 @dataclass(eq=False)
 class PoolState:
-    """Jobs and workers of a pool; `dirty` holds the jobs whose progress is not recorded yet."""
+    """Jobs and workers of a pool; `dirty` holds the jobs with unrecorded progress."""
 
     pool: PoolId
     jobs: dict[JobId, Job] = field(default_factory=dict)
     loads: dict[WorkerId, WorkerLoad] = field(default_factory=dict)
     dirty: set[Job] = field(default_factory=set)
-    fresh: list[Task] = field(default_factory=list)
+    newly_placed: list[Task] = field(default_factory=list)
     """Tasks placed since the last commit."""
     silences: list[Silence] = field(default_factory=list)
-    estimates: Estimates = field(default_factory=Estimates)
+    estimates: DurationEstimates = field(default_factory=DurationEstimates)
     limits: PoolLimits = field(init=False)
     inherited: dict[WorkerId, list[InheritedRun]] = field(default_factory=dict)
-    """Runs that earlier owners left behind, as long as they are not counted on their workers."""
-    shares: ShareMeter = field(default_factory=ShareMeter)
-    rooms: set[Capacity] | None = None
-    """The different capacities of the workers; None after a change until they are asked for."""
+    """Runs of earlier owners that are not yet counted on their workers."""
+    fair_share: FairShareMeter = field(default_factory=FairShareMeter)
+    capacities: set[Capacity] | None = None
+    """Cached set of the workers' distinct capacities; None if it must be recomputed."""
 
     def __post_init__(self) -> None:
-        """Hold the limits of all accounts whole until other pools are known."""
+        """Start with the whole limit of every account, until other pools are known."""
         self.limits = PoolLimits(self.pool)
 
     def add_job(
         self, record: JobRecord, configuration: Configuration, progress: ProgressRecord | None
     ) -> Job | None:
-        """Take in a job that callers submitted; return None if it is known already."""
+        """Add a submitted job; return None if it is already known."""
         known = self.jobs.get(JobId(record.id))
         if known is not None:
             return None
         job = make_job(record, configuration.routes.get(RouteName(record.route)), self.estimates)
         if progress is not None:
             job.restore(progress)
-            for run in job.left_runs():
-                self.inherit(job.account, run)
+            for run in job.outstanding_runs():
+                self.add_inherited_run(job.account, run)
         account = configuration.accounts.get(job.account)
         if account is not None:
-            job.beyond_share = self.shares.goes_beyond(
+            job.exceeds_share = self.fair_share.note_job(
                 job.account, account.weight, record.accepted_ms
             )
         self.jobs[job.id] = job
         return job
 
-    def inherit(self, account: AccountId, run: LeftRun) -> None:
-        """Count a run that an earlier owner left behind."""
+    def add_inherited_run(self, account: AccountId, run: LeftRun) -> None:
+        """Count a run of an earlier owner against its account's limit."""
         if account:
             inherited = InheritedRun(account, run)
             self.inherited.setdefault(WorkerId(run.worker), []).append(inherited)
-            self.limits.use.add(account, run, 1)
+            self.limits.usage.add(account, run, 1)
 
     def adopt_inherited(self, load: WorkerLoad) -> None:
-        """Leave the runs that are counted on their worker now to it."""
+        """Drop the inherited runs that are now counted as tasks of their worker."""
         counted = {(task.name, task.run) for task in load.tasks}
-        left = [run.key for run in self.inherited.get(load.worker.id, ())]
-        self.settle_inherited(load.worker.id, {key for key in left if key not in counted})
-
-    def settle_inherited(self, worker: WorkerId, keep: Container[RunKey] = ()) -> None:
-        """Count a worker's inherited runs no longer, but for those that are still going on."""
-        left = self.inherited.pop(worker, [])
-        still = [run for run in left if run.key in keep]
-        for run in left:
-            if run not in still:
-                self.limits.use.add(run.account, run.record, -1)
-        if still:
-            self.inherited[worker] = still
+        keys = [run.key for run in self.inherited.get(load.worker.id, ())]
+        self.resolve_inherited(load.worker.id, {key for key in keys if key not in counted})
+
+    def resolve_inherited(self, worker: WorkerId, keep: Container[RunKey] = ()) -> None:
+        """Stop counting a worker's inherited runs, except for those in `keep`, which still run."""
+        runs = self.inherited.pop(worker, [])
+        remaining = [run for run in runs if run.key in keep]
+        for run in runs:
+            if run not in remaining:
+                self.limits.usage.add(run.account, run.record, -1)
+        if remaining:
+            self.inherited[worker] = remaining
 
     def cancel(self, job: Job) -> None:
-        """End a job because its caller asked for it."""
+        """Cancel a job at its caller's request."""
         if not job.ended:
             job.phase = JobPhase.CANCELLED
             self.dirty.add(job)
 
-    def task(self, name: TaskName) -> Task | None:
+    def find_task(self, name: TaskName) -> Task | None:
         """Find a task of a job that has not ended."""
         job = self.jobs.get(JobId(name.partition(".")[0]))
         return None if job is None else job.by_name.get(name)
 
     def add_worker(self, worker: Worker) -> WorkerLoad:
-        """Count a worker, or take its newest description."""
+        """Add a worker, or update its description."""
         load = self.loads.get(worker.id)
         if load is None:
-            load = WorkerLoad(worker, self.limits.use)
+            load = WorkerLoad(worker, self.limits.usage)
             self.loads[worker.id] = load
-            self.rooms = None
+            self.capacities = None
         if load.worker.capacity != worker.capacity:
-            self.rooms = None
+            self.capacities = None
         load.worker = worker
         load.listed = True
         if worker.leaves_in_s is not None and load.leaves_at is None:
@@ -167,93 +170,94 @@
         return load
 
     def load_of(self, task: Task) -> WorkerLoad | None:
-        """Return the worker that a task's newest start was meant for, if it is counted."""
+        """Return the load of the worker that a task was last assigned to, if that is known."""
         return self.loads.get(task.worker) if task.worker else None
 
     def drop_worker(self, worker: WorkerId, keep: Container[Task] = ()) -> None:
-        """Forget a worker whose tasks are known to be over; they wait again.
+        """Remove a worker whose runs are known to be over, and requeue its tasks.
 
-        Tasks to `keep` stay assigned to it: the worker may have begun them in its next life.
+        Tasks in `keep` stay assigned: the worker's next incarnation may have started them.
         """
         load = self.loads.pop(worker, None)
-        self.rooms = None
+        self.capacities = None
         for job in self.jobs.values():
             lost = [task for task in job.tasks if task.worker == worker and task not in keep]
             if not lost or job.ended:
                 continue
             for task in lost:
-                task.release()
+                task.mark_waiting()
             self.dirty.add(job)
         if load is not None:
             for task in list(load.tasks):
                 load.remove(task)
-        self.settle_inherited(worker)
+        self.resolve_inherited(worker)
 
     def note_silence(self, load: WorkerLoad, now: float) -> None:
         """Note that a worker stopped answering."""
         load.silent_at = now
-        self.silences = [s for s in self.silences if now - s.at < SILENCES_KEPT_S]
-        if not has_new(load) and not load.leaving:
+        self.silences = [s for s in self.silences if now - s.at < SILENCE_RETENTION_S]
+        if not has_unproven_tasks(load) and not load.leaving:
             self.silences.append(Silence(load.worker.id, load.worker.rack, now))
 
-    def lose_runs(
+    def note_lost_runs(
         self, load: WorkerLoad, pending: Collection[Task] = (), *, ended: bool = True
     ) -> list[Task]:
-        """Note that a worker's runs are lost; return the tasks that may be the cause.
+        """Attribute the loss of a worker with its runs; return the suspected tasks.
 
-        `ended` tells that the worker's life is over and it was not merely silent for too long.
+        `ended` says that the incarnation is over, rather than only silent for too long. Other
+        workers of the rack that went silent at the same time suggest a common cause.
         """
-        together = any(
+        common_cause = any(
             silence.worker != load.worker.id
             and silence.rack == load.worker.rack
-            and abs(silence.at - load.silent_at) <= TOGETHER_S
+            and abs(silence.at - load.silent_at) <= COMMON_CAUSE_WINDOW_S
             for silence in self.silences
         )
-        blamed = blame(load, pending, single=ended and not together)
+        blamed = attribute_crash(load, pending, single=ended and not common_cause)
         for task in blamed:
-            self._weigh_losses(task)
+            self._check_losses(task)
         return blamed
 
-    def forgive_task(self, task: Task, worker: WorkerId) -> None:
-        """Take back the loss of a worker with a task that turned out to run elsewhere."""
-        forgive([task], worker)
+    def retract_loss(self, task: Task, worker: WorkerId) -> None:
+        """Remove a worker loss from a task that turned out to run elsewhere."""
+        retract_worker_loss([task], worker)
         self.dirty.add(task.job)
 
     def assigned_tasks(self) -> dict[WorkerName, list[Task]]:
-        """Return the tasks of jobs that go on, by the worker that they were last assigned to."""
-        found: dict[WorkerName, list[Task]] = {}
+        """Return the tasks of unfinished jobs by the worker that they were last assigned to."""
+        assigned: dict[WorkerName, list[Task]] = {}
         for job in self.jobs.values():
             if job.ended:
                 continue
             for task in job.tasks:
                 if task.worker:
-                    found.setdefault(worker_name(task.worker), []).append(task)
-        return found
+                    assigned.setdefault(worker_name(task.worker), []).append(task)
+        return assigned
 
     def lost_workers(self) -> set[WorkerId]:
-        """Return the workers whose losses tasks carry."""
+        """Return the workers whose loss is attributed to any task."""
         tasks = (task for job in self.jobs.values() for task in job.tasks)
         return {loss.worker for task in tasks for loss in task.losses}
 
-    def lose_run(self, task: Task, loss: Loss) -> None:
-        """Note the loss of a worker with a task of which it is not known whether it began there."""
+    def note_lost_run(self, task: Task, loss: WorkerLoss) -> None:
+        """Attribute a worker loss to a task that may not have started there."""
         if task.job.ended or task.state is TaskState.DONE:
             return
         task.losses.append(loss)
-        self._weigh_losses(task)
+        self._check_losses(task)
 
-    def _weigh_losses(self, task: Task) -> None:
-        """Record a task's losses; give its job up if there are too many."""
+    def _check_losses(self, task: Task) -> None:
+        """Mark a task's losses as unrecorded; fail its job if there are too many."""
         self.dirty.add(task.job)
-        if is_hopeless(task) and not task.job.ended:
-            self._give_up(task, [loss.worker for loss in task.losses])
+        if exceeds_loss_limit(task) and not task.job.ended:
+            self._fail_job(task, [loss.worker for loss in task.losses])
 
-    def forgive_loss(self, load: WorkerLoad) -> None:
-        """Take back the loss of a worker that answers again."""
+    def retract_losses(self, load: WorkerLoad) -> None:
+        """Remove the loss of a worker that responds again from all tasks."""
         tasks = (task for job in self.jobs.values() if not job.ended for task in job.tasks)
-        self.dirty.update(task.job for task in forgive(tasks, load.worker.id))
+        self.dirty.update(task.job for task in retract_worker_loss(tasks, load.worker.id))
 
-    def _give_up(self, task: Task, lost_workers: Sequence[WorkerId] = ()) -> None:
+    def _fail_job(self, task: Task, lost_workers: Sequence[WorkerId] = ()) -> None:
         failure = FailureRecord(
             task=task.name, attempts=task.failures, lost_workers=list(lost_workers)
         )
@@ -267,27 +271,27 @@
             workers=list(lost_workers),
         )
 
-    def free(self, task: Task, checkpoint: str = "") -> None:
-        """Let a task wait again after its run is known to be over."""
+    def requeue(self, task: Task, checkpoint: str = "") -> None:
+        """Requeue a task whose run is known to be over."""
         load = self.load_of(task)
         if load is not None:
             load.remove(task)
-        task.release(checkpoint)
-        if task.spec.long_running and task.away_since is None:
-            task.away_since = monotonic()
+        task.mark_waiting(checkpoint)
+        if task.spec.long_running and task.unavailable_since is None:
+            task.unavailable_since = monotonic()
         if not task.job.ended:
             self.dirty.add(task.job)
 
     def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
-        """Take in a run's end as its worker listed it."""
-        task = self.task(end.task)
+        """Apply the end of a run as reported by its worker."""
+        task = self.find_task(end.task)
         if task is None or task.job.ended or task.state is TaskState.DONE:
             return
         newest = task.run == end.run and task.worker == worker
         if end.how is RunEnd.DONE:
             if newest and task.state is TaskState.RUNNING and task.started_at:
-                taken_ms = (now - task.started_at) * 1000
-                self.estimates.note(task.job.route, task.spec.estimated_ms, taken_ms)
+                actual_ms = (now - task.started_at) * 1000
+                self.estimates.add_task(task.job.route, task.spec.estimated_ms, actual_ms)
             self._finish(task, worker)
         elif newest:
             self._fail(task, end)
@@ -295,10 +299,10 @@
         if load is None or end.how not in (RunEnd.DONE, RunEnd.FAILED):
             return
         if load.note_result(end.how is RunEnd.DONE, now):
-            log.warning("worker left out", pool=self.pool, worker=worker, reason="failures")
+            log.warning("worker ejected", pool=self.pool, worker=worker, reason="failures")
 
     def _finish(self, task: Task, worker: WorkerId) -> None:
-        """Note a good end; runs elsewhere stay counted until their workers list them no more."""
+        """Finish a task, with its gang; runs on other workers count until they are not listed."""
         members = task.group.tasks if task.spec.gang else [task]
         for member in members:
             load = self.load_of(member)
@@ -312,10 +316,10 @@
             self._count_failure(task, end.run)
         if task.spec.gang and end.checkpoint:
             task.group.gang_checkpoint = end.checkpoint
-        self.free(task, end.checkpoint)
+        self.requeue(task, end.checkpoint)
 
     def _count_failure(self, task: Task, run: int) -> None:
-        """Count a failed run; the job fails with the last attempt."""
+        """Count a failed attempt; fail the job after the last one."""
         if not task.spec.gang:
             task.failures += 1
         elif task.group.failed_run != run:
@@ -324,37 +328,37 @@
                 member.failures += 1
         self.dirty.add(task.job)
         if task.failures >= task.job.max_attempts:
-            self._give_up(task)
+            self._fail_job(task)
 
     def place(self, now: float, now_ms: float) -> list[Task]:
-        """Choose workers for waiting tasks whose turn has come."""
+        """Choose workers for the waiting tasks that are ready to start."""
         loads = list(self.loads.values())
         groups = order_groups(self.jobs.values(), now_ms)
-        reserve_workers(groups, loads, now)
+        reserve_quarantine_workers(groups, loads, now)
         self.limits.begin_round()
         placed = place_groups(groups, loads, self.limits, now)
         for task in placed:
             self.dirty.add(task.job)
             if task.job.phase is JobPhase.QUEUED:
                 task.job.phase = JobPhase.RUNNING
-        self.fresh += placed
+        self.newly_placed += placed
         return placed
 
     def waiting_by_route(self) -> Counter[RouteName]:
-        """Count the jobs of which no task has begun."""
-        return Counter(j.route for j in self.jobs.values() if not j.begun and not j.ended)
+        """Count the jobs without any started task, by route."""
+        return Counter(j.route for j in self.jobs.values() if not j.has_started and not j.ended)
 
     def fits_anywhere(self, spec: StepRecord) -> bool:
-        """Whether some worker, were it empty, could carry a task; true while none is known."""
-        if self.rooms is None:
-            self.rooms = {load.worker.capacity for load in self.loads.values()}
-        return not self.rooms or any(
-            spec.cpu_millis <= room.cpu_millis and spec.memory_mb <= room.memory_mb
-            for room in self.rooms
+        """Whether an empty worker could fit a task; true while no worker is known."""
+        if self.capacities is None:
+            self.capacities = {load.worker.capacity for load in self.loads.values()}
+        return not self.capacities or any(
+            spec.cpu_millis <= capacity.cpu_millis and spec.memory_mb <= capacity.memory_mb
+            for capacity in self.capacities
         )
 
-    def waiting_tasks(self, now_ms: float) -> int:
-        """Count the tasks whose turn has come, that wait and that some worker could carry."""
+    def count_waiting_tasks(self, now_ms: float) -> int:
+        """Count the waiting tasks that are ready to start and fit on some worker."""
         return sum(
             len(group.waiting())
             for job in self.jobs.values()
--- a/pumicespur/jobs/_intake.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -1,4 +1,4 @@
-"""How an owner hears of its pool's jobs: submissions, cancellations, what was recorded."""
+"""Reads and follows a pool's submissions and cancellations, and loads recorded progress."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.jobs._beliefs import submissions_max_age_s
 from pumicespur.jobs._job import ENDED_PHASES
-from pumicespur.jobs._keys import submission_parts, submissions_table
-from pumicespur.jobs._sweep import SubmissionSweep
+from pumicespur.jobs._keys import submission_partitions, submissions_table
+from pumicespur.jobs._known_state import submissions_max_age_s
+from pumicespur.jobs._submission_cleanup import SubmissionCleanup
 from pumicespur.model import AccountId, JobId, RouteName
 from pumicespur.schema.jobs_pb import JobRecord, ProgressRecord
 from pumicespur.store import AnswerLost, HistoryGone, Page, Reading, Row
@@ -29,17 +29,17 @@
 
 log = Logger(__name__)
 
-RETRY_S = 0.2
-"""Pause after a fault of the store outside commits."""
+RETRY_DELAY_S = 0.2
+"""Pause after an error of the store outside commits."""
 
-WATCH_S = 0.25
-"""Longest wait for new submissions in one request. A request that the store has forgotten hears
-nothing; each second of that is as much of the callers' latency objective. The submissions are then
-read themselves, since the jobs that wait unheard make those behind them late as well."""
+MAX_WATCH_S = 0.25
+"""Longest wait for new submissions in one request. A request that the store lost returns no
+changes, and that time counts against the callers' latency objective. The submissions are then read
+in full, since jobs that arrive unnoticed also delay those behind them."""
 
 
-class JobIntake:
-    """Takes jobs into a pool's state."""
+class SubmissionFollower:
+    """Adds submitted jobs to a pool's state and applies cancellations."""
 
     def __init__(
         self,
@@ -53,21 +53,21 @@
         self.pool = pool
         self.table = table
         self.view = view
-        self.watch_s = min(settings.store.watch_s, WATCH_S)
+        self.watch_s = min(settings.store.watch_s, MAX_WATCH_S)
         """Longest wait for changes in one request, in seconds."""
         self.max_age_s = submissions_max_age_s(settings.workers)
-        """Age of what is known at which it is of no use for starts any more, in seconds."""
+        """Maximum age of the submissions for starts, in seconds."""
         self.wake = wake
-        """Asks the owner for a round."""
+        """Requests a round of the owner."""
         self.note_arrival = note_arrival
         self.ended: dict[JobId, int] = {}
-        """Jobs that have ended, by the time of day in milliseconds."""
-        self.sweep = SubmissionSweep(pool.pool, table)
+        """Ended jobs with the time of their end, in milliseconds since 1970."""
+        self.cleanup = SubmissionCleanup(pool.pool, table)
         self.reading = Reading()
-        """How far the submissions are known."""
+        """Version and age of the known submissions."""
 
     async def load(self) -> None:
-        """Read what earlier owners recorded; since the takeover nothing of theirs can change it."""
+        """Read what earlier owners recorded; since the takeover they can't change it."""
         kept = await self._retry(lambda: self.table.scan("progress", self.pool.pool))
         progress: dict[str, ProgressRecord] = {}
         for row in kept.rows:
@@ -77,52 +77,56 @@
             if record.phase in ENDED_PHASES:
                 self.ended[job] = record.changed_ms
                 for run in record.left:
-                    self.pool.inherit(AccountId(record.account), run)
-        for submitted, version in self._submitted(await self._read_all()):
-            self._take(submitted, version, progress)
+                    self.pool.add_inherited_run(AccountId(record.account), run)
+        for submitted, version in self._parse_submissions(await self._read_all()):
+            self._apply(submitted, version, progress)
 
     async def _read_all(self) -> list[Row]:
-        """Read all submissions; changes are followed from the oldest page on."""
+        """Read all submissions; changes are followed from the oldest page's version on."""
         pool = self.pool.pool
         pages: list[Page] = []
         asked_at = monotonic()
 
-        async def read(part: str) -> None:
-            scan = functools.partial(self.table.scan, submissions_table(pool), part, self.max_age_s)
+        async def read(partition: str) -> None:
+            scan = functools.partial(
+                self.table.scan, submissions_table(pool), partition, self.max_age_s
+            )
             pages.append(await self._retry(scan))
 
         async with anyio.create_task_group() as readers:
-            for part in submission_parts(pool):
-                readers.start_soon(read, part)
+            for partition in submission_partitions(pool):
+                readers.start_soon(read, partition)
         self.reading = Reading(min(page.version for page in pages), asked_at)
         return [row for page in pages for row in page.rows]
 
     async def _retry(self, call: Callable[[], Awaitable[Result[Any, Any]]]) -> Any:
         while True:
-            answer = await call()
-            match answer:
+            response = await call()
+            match response:
                 case Result(tag="ok", ok=value):
                     return value
-                case Result(error=fault):
-                    log.warning("store not read", pool=self.pool.pool, reason=str(fault))
-                    await anyio.sleep(RETRY_S)
+                case Result(error=error):
+                    log.warning("store not read", pool=self.pool.pool, reason=str(error))
+                    await anyio.sleep(RETRY_DELAY_S)
 
-    def _submitted(self, rows: list[Row]) -> list[tuple[JobRecord, int]]:
-        """Return jobs with their rows' versions, in the order in which they were handed in."""
+    def _parse_submissions(self, rows: list[Row]) -> list[tuple[JobRecord, int]]:
+        """Return jobs with the versions of their rows, in order of submission."""
         found = [(JobRecord.from_binary(row.value), row.version) for row in rows if row.version]
         return sorted(found, key=lambda entry: entry[0].accepted_ms)
 
-    def _take(self, record: JobRecord, version: int, progress: dict[str, ProgressRecord]) -> None:
+    def _apply(self, record: JobRecord, version: int, progress: dict[str, ProgressRecord]) -> None:
         if record.ended:
             return
         if JobId(record.id) in self.ended:
-            self.sweep.empty(JobId(record.id), RouteName(record.route), AccountId(record.account))
+            self.cleanup.compact(
+                JobId(record.id), RouteName(record.route), AccountId(record.account)
+            )
             return
         job = self.pool.add_job(record, self.view.configuration, progress.get(record.id))
         if job is not None:
             self.note_arrival(job)
             log.info(
-                "job known",
+                "job received",
                 job=job.id,
                 route=job.route,
                 pool=self.pool.pool,
@@ -137,28 +141,34 @@
         self.wake()
 
     async def follow(self) -> None:
-        """Take in jobs and cancellations as callers' entries write them."""
+        """Apply jobs and cancellations as the entry processes write them."""
         pool = self.pool.pool
         table = submissions_table(pool)
         while True:
             asked_at = monotonic()
-            useful_s = max(0.0, self.max_age_s - self.watch_s)
-            patience_s = min(self.table.times.patience_s(asked_at), useful_s)
-            answer = await self.table.changes(table, self.reading.version, self.watch_s, patience_s)
-            match answer:
+            max_timeout_s = max(0.0, self.max_age_s - self.watch_s)
+            timeout_s = min(self.table.times.patience_s(asked_at), max_timeout_s)
+            response = await self.table.changes(
+                table, self.reading.version, self.watch_s, timeout_s
+            )
+            match response:
                 case Result(tag="ok", ok=page):
-                    proved_at = asked_at if page.complete else self.reading.asked_at
-                    self.reading = Reading(page.version, proved_at)
+                    current_as_of = asked_at if page.complete else self.reading.asked_at
+                    self.reading = Reading(page.version, current_as_of)
                     rows = page.rows
                 case Result(error=HistoryGone()):
-                    log.warning("submissions read anew", pool=pool, reason="history gone")
+                    log.warning("submissions read in full", pool=pool, reason="history gone")
                     rows = await self._read_all()
                 case Result(error=AnswerLost()) if self.table.answers():
-                    log.info("submissions read anew", pool=pool, reason="no word of changes")
+                    log.info(
+                        "submissions read in full",
+                        pool=pool,
+                        reason="changes not received",
+                    )
                     rows = await self._read_all()
-                case Result(error=fault):
-                    log.warning("submissions not followed", pool=pool, reason=str(fault))
-                    await anyio.sleep(RETRY_S)
+                case Result(error=error):
+                    log.warning("submissions not followed", pool=pool, reason=str(error))
+                    await anyio.sleep(RETRY_DELAY_S)
                     continue
-            for record, version in self._submitted(rows):
-                self._take(record, version, {})
+            for record, version in self._parse_submissions(rows):
+                self._apply(record, version, {})
--- /dev/null
+++ b/pumicespur/jobs/_worker_load.py
@@ -0,0 +1,183 @@
+"""The load of each worker of a pool, and whether it can be given more tasks."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from pumicespur.jobs._account_usage import AccountUsage
+from pumicespur.model import InstanceId, WorkerState
+
+if TYPE_CHECKING:
+    from pumicespur.jobs._job import StepGroup, Task
+    from pumicespur.model import Worker
+    from pumicespur.schema.jobs_pb import StepRecord
+
+MIN_EJECT_FAILURES = 3
+"""Consecutive failures before a worker is ejected; single failures are mostly the tasks' fault."""
+
+MIN_EJECT_S = 2.0
+"""Length of a worker's first ejection; it doubles with each further one."""
+
+REPORT_VALIDITY_S = 6.0
+"""Time for which the fleet leader may act on a report: the maximum age of the report, the interval
+at which the leader confirms its role, the timeout of its order, and a heartbeat."""
+
+MAX_EJECT_S = 16.0
+"""Bounds an ejection so that a recovered worker is used again."""
+
+
+@dataclass(eq=False)
+class WorkerLoad:
+    """The load of one worker as counted by the owner of its pool."""
+
+    worker: Worker
+    usage: AccountUsage = field(default_factory=AccountUsage)
+    """Usage by account, shared by all workers of the pool."""
+    tasks: set[Task] = field(default_factory=set)
+    suspected_tasks: set[Task] = field(default_factory=set)
+    """Its tasks that may have crashed another worker before."""
+    has_unknown_runs: bool = False
+    """It has runs that take capacity but are not counted here; they are being stopped."""
+    reserved: bool = False
+    """Its only new task will be one suspected task, see `_crash_attribution`."""
+    silent_at: float = 0.0
+    """Monotonic time at which it last stopped answering, in seconds."""
+    cpu_millis: int = 0
+    memory_mb: int = 0
+    accelerators: int = 0
+    listed: bool = True
+    """Whether the store lists the worker."""
+    reachable: bool = False
+    """Whether it answered the last call."""
+    evacuating: bool = False
+    """It gets no new tasks, on behalf of the fleet leader."""
+    evacuation_requested: bool = False
+    """The latest, still fresh request of the fleet leader is to evacuate it."""
+    evacuation_reported_at: float = float("-inf")
+    """Monotonic time of the last report that confirmed the evacuation, in seconds."""
+    reported_tasks: int = 0
+    """Number of tasks in the last report."""
+    throttled_at: float = 0.0
+    """Monotonic time at which its best-effort tasks were last throttled or sped up, in seconds."""
+    leaves_at: float | None = None
+    """Monotonic time at which the worker may be gone, if it announced that, in seconds."""
+    paused_until: float = 0.0
+    """Monotonic time until which it gets no new tasks after failures or a refusal, in seconds."""
+    failures: int = 0
+    ejections: int = 0
+
+    def add(self, task: Task) -> None:
+        """Add a task to the load."""
+        if task in self.tasks:
+            return
+        self.tasks.add(task)
+        if task.losses:
+            self.suspected_tasks.add(task)
+        self._count(task, 1)
+
+    def remove(self, task: Task) -> None:
+        """Remove a task from the load."""
+        if task not in self.tasks:
+            return
+        self.tasks.remove(task)
+        self.suspected_tasks.discard(task)
+        self._count(task, -1)
+
+    def _count(self, task: Task, sign: int) -> None:
+        spec = task.spec
+        self.usage.add(task.job.account, spec, sign)
+        if not spec.fills:
+            self.cpu_millis += sign * spec.cpu_millis
+        self.memory_mb += sign * spec.memory_mb
+        self.accelerators += sign * spec.accelerators
+
+    @property
+    def instance(self) -> InstanceId:
+        """Return the worker's instance, or its own id if it reports none."""
+        return self.worker.instance or InstanceId(self.worker.id)
+
+    def update_evacuation(self, requested: bool | None, now: float) -> bool:
+        """Apply the fleet leader's request, None if it has none fresh; return whether that changes.
+
+        Without a fresh request, a reported evacuation stays in force for a while, because the
+        leader may still act on that report.
+        """
+        self.evacuation_requested = bool(requested)
+        still_valid = requested is None and now - self.evacuation_reported_at < REPORT_VALIDITY_S
+        evacuating = self.evacuation_requested or (self.evacuating and still_valid)
+        changed = evacuating != self.evacuating
+        self.evacuating = evacuating
+        return changed
+
+    @property
+    def leaving(self) -> bool:
+        """Whether the worker is being evacuated or drained."""
+        return self.evacuating or self.worker.state is WorkerState.DRAINING
+
+    def can_accept_tasks(self, now: float) -> bool:
+        """Whether the worker can be given tasks now."""
+        ready = self.listed and self.worker.state is WorkerState.READY
+        usable = self.reachable and not self.has_unknown_runs
+        return ready and usable and not self.evacuating and now >= self.paused_until
+
+    def is_overcommitted(self) -> bool:
+        """Whether the load exceeds the capacity, which may have shrunk since assignments."""
+        capacity = self.worker.capacity
+        return (
+            self.cpu_millis > capacity.cpu_millis
+            or self.memory_mb > capacity.memory_mb
+            or self.accelerators > capacity.accelerators
+        )
+
+    def fits(self, spec: StepRecord) -> bool:
+        """Whether one more task of a step fits in the free capacity."""
+        capacity = self.worker.capacity
+        cpu = 0 if spec.fills else spec.cpu_millis
+        return (
+            self.cpu_millis + cpu <= capacity.cpu_millis
+            and self.memory_mb + spec.memory_mb <= capacity.memory_mb
+            and self.accelerators + spec.accelerators <= capacity.accelerators
+        )
+
+    def has_label(self, spec: StepRecord) -> bool:
+        """Whether the worker has the label that a step requires, if any."""
+        return not spec.required_label or spec.required_label in self.worker.labels
+
+    def meets_constraints(self, group: StepGroup) -> bool:
+        """Whether the step's required label and maximum per worker permit one more of its tasks."""
+        spec = group.spec
+        if not self.has_label(spec):
+            return False
+        if not spec.max_per_worker:
+            return True
+        assigned = sum(1 for task in self.tasks if task.group is group)
+        return assigned < spec.max_per_worker
+
+    def can_take(self, group: StepGroup, now: float) -> bool:
+        """Whether one more task of a step can be given to the worker now."""
+        return (
+            self.can_accept_tasks(now) and self.fits(group.spec) and self.meets_constraints(group)
+        )
+
+    def utilization(self) -> float:
+        """Return the utilization of the worker's scarcest resource, processor or memory."""
+        capacity = self.worker.capacity
+        return max(
+            self.cpu_millis / max(1, capacity.cpu_millis),
+            self.memory_mb / max(1, capacity.memory_mb),
+        )
+
+    def note_result(self, well: bool, now: float) -> bool:
+        """Count the end of a task; return whether the worker is ejected now."""
+        if well:
+            self.failures = 0
+            self.ejections = 0
+            return False
+        self.failures += 1
+        if self.failures < MIN_EJECT_FAILURES:
+            return False
+        self.failures = 0
+        self.paused_until = now + min(MAX_EJECT_S, MIN_EJECT_S * 2**self.ejections)
+        self.ejections += 1
+        return True
