--- a/pumicespur/schema/claims_pb.py
+++ b/pumicespur/schema/claims_pb.py
@@ -40,7 +40,7 @@
             string entry = 3;
             ```
         digest:
-            SHA-256 of the request, so that a key is not used for another request.
+            SHA-256 of the request; detects a key that is reused for another request.
 
             ```proto
             bytes digest = 4;
@@ -108,19 +108,19 @@
             CLAIM_STATE_UNSPECIFIED = 0
             ```
         HELD:
-            Somebody may run it or have run it.
+            The request may be running or may have run.
 
             ```proto
             CLAIM_STATE_HELD = 1
             ```
         DONE:
-            It ran; the answer is kept if it was small enough.
+            The request ran; its response is kept if it was small enough.
 
             ```proto
             CLAIM_STATE_DONE = 2
             ```
         NOT_RUN:
-            It did not run and never will under this key.
+            The request did not run and never will under this key.
 
             ```proto
             CLAIM_STATE_NOT_RUN = 3
--- a/pumicespur/schema/fleet_pb.py
+++ b/pumicespur/schema/fleet_pb.py
@@ -64,7 +64,7 @@
 
 class Pool(Message[_PoolFields]):
     """
-    A group of instances that carries one service.
+    A group of instances that runs one service.
 
     ```proto
     message pumicespur.v1.Pool
@@ -82,7 +82,7 @@
             int32 size = 2;
             ```
         needs:
-            What each instance must have at least.
+            Minimum resources of each instance.
 
             ```proto
             optional pumicespur.v1.Resources needs = 3;
@@ -100,7 +100,7 @@
             double min_available_share = 5;
             ```
         headroom:
-            Planned work keeps this much room for an unplanned loss.
+            Planned work leaves enough free capacity for the unplanned loss of one such domain.
 
             ```proto
             pumicespur.v1.FailureDomain headroom = 6;
@@ -134,7 +134,7 @@
 
 class Job(Message[_JobFields]):
     """
-    Work that a pool must carry.
+    Work that a pool must run.
 
     ```proto
     message pumicespur.v1.Job
@@ -158,7 +158,7 @@
             int32 tasks = 4;
             ```
         needs:
-            What each task needs.
+            Resources that each task needs.
 
             ```proto
             optional pumicespur.v1.Resources needs = 5;
@@ -270,7 +270,7 @@
             double halt_share = 4;
             ```
         attempts:
-            Reboots tried for one instance before it counts as failed.
+            Reboots attempted for one instance before it counts as failed.
 
             ```proto
             int32 attempts = 5;
@@ -412,7 +412,7 @@
 
 class Assignment(Message[_AssignmentFields]):
     """
-    The decided place of one instance. A later assignment replaces an earlier one.
+    The pool and state decided for one instance. A later assignment replaces an earlier one.
 
     ```proto
     message pumicespur.v1.Assignment
@@ -436,13 +436,13 @@
             pumicespur.v1.DrainReason reason = 4;
             ```
         next_pool:
-            The pool that takes the instance when it has drained.
+            The pool that the instance joins once it is drained.
 
             ```proto
             string next_pool = 5;
             ```
         token:
-            Names the ordered effect, so that the platform runs it once.
+            Identifies the ordered effect, so that the platform carries it out once.
 
             ```proto
             string token = 6;
@@ -452,7 +452,7 @@
             string wave = 7;
             ```
         boot:
-            The boot that the instance had when its reboot was ordered.
+            Boot id of the instance when its reboot was ordered.
 
             ```proto
             string boot = 8;
@@ -490,7 +490,7 @@
             string rack = 15;
             ```
         wave_run:
-            The run of `wave` that took the instance last, and what came of it.
+            The run of `wave` that last included the instance, and its result there.
 
             ```proto
             int32 wave_run = 16;
@@ -550,7 +550,7 @@
 
 class Placement(Message[_PlacementFields]):
     """
-    The decided place of one task of a job.
+    The instance decided for one task of a job.
 
     ```proto
     message pumicespur.v1.Placement
@@ -604,7 +604,7 @@
 
 class WaveProgress(Message[_WaveProgressFields]):
     """
-    How far a wave has come.
+    Progress of a wave.
 
     ```proto
     message pumicespur.v1.WaveProgress
@@ -620,7 +620,7 @@
             pumicespur.v1.WavePhase phase = 2;
             ```
         done:
-            Counts over the run; what became of each instance is in its assignment.
+            Counts over the run; the result for each instance is in its assignment.
 
             ```proto
             int32 done = 3;
@@ -642,13 +642,13 @@
             string reason = 7;
             ```
         run:
-            Rises with each start, so that every instance is due again.
+            Increases with each start of the wave, so that every instance is due again.
 
             ```proto
             int32 run = 8;
             ```
         resumed_ms:
-            Failures before this time get another try.
+            Instances that failed before this time get another attempt.
 
             ```proto
             int64 resumed_ms = 9;
@@ -700,7 +700,7 @@
             int64 revision = 1;
             ```
         token:
-            Unique to the append, so that an append whose answer was lost can be found.
+            Unique to the append, so that an append whose response was lost can be found.
 
             ```proto
             string token = 2;
@@ -816,7 +816,7 @@
 
 class Snapshot(Message[_SnapshotFields]):
     """
-    The state after folding all records up to a revision.
+    The state after applying all records up to a revision.
 
     ```proto
     message pumicespur.v1.Snapshot
@@ -874,7 +874,7 @@
 
 class InstanceState(Enum):
     """
-    Where an instance stands in its pool.
+    Service state of an instance in its pool.
 
     ```proto
     enum pumicespur.v1.InstanceState
@@ -886,25 +886,25 @@
             INSTANCE_STATE_UNSPECIFIED = 0
             ```
         SERVING:
-            Takes new work.
+            Accepts new work.
 
             ```proto
             INSTANCE_STATE_SERVING = 1
             ```
         DRAINING:
-            Takes no new work and finishes what it has.
+            Accepts no new work and finishes what it has.
 
             ```proto
             INSTANCE_STATE_DRAINING = 2
             ```
         MAINTAINING:
-            Drained; its reboot has been ordered and not been seen back yet.
+            Drained and ordered to reboot; not seen back yet.
 
             ```proto
             INSTANCE_STATE_MAINTAINING = 3
             ```
         RETURNING:
-            Ordered back into service and not been seen there yet.
+            Ordered back into service; not seen in service yet.
 
             ```proto
             INSTANCE_STATE_RETURNING = 4
@@ -1010,7 +1010,7 @@
 
 class WaveOutcome(Enum):
     """
-    What a wave has made of an instance.
+    Result of a wave for one instance.
 
     ```proto
     enum pumicespur.v1.WaveOutcome
@@ -1037,7 +1037,7 @@
 
 class WavePhase(Enum):
     """
-    Where a maintenance wave stands.
+    State of a maintenance wave.
 
     ```proto
     enum pumicespur.v1.WavePhase
@@ -1057,7 +1057,7 @@
             WAVE_PHASE_PAUSED = 2
             ```
         HALTED:
-            Stopped by itself, because too many instances failed to come back.
+            Halted automatically because too many instances failed to come back.
 
             ```proto
             WAVE_PHASE_HALTED = 3
--- a/pumicespur/schema/jobs_pb.py
+++ b/pumicespur/schema/jobs_pb.py
@@ -22,7 +22,7 @@
 
 class StepRecord(Message[_StepRecordFields]):
     """
-    One step of a job: tasks that are alike.
+    One step of a job: tasks with the same requirements.
 
     ```proto
     message pumicespur.v1.StepRecord
@@ -46,13 +46,13 @@
             int32 accelerators = 4;
             ```
         estimated_ms:
-            The caller's guess; often far off.
+            The caller's estimate of a task's duration; often far off.
 
             ```proto
             int32 estimated_ms = 5;
             ```
         depends_on:
-            Earlier steps whose tasks must all have ended well.
+            Earlier steps whose tasks must all have succeeded.
 
             ```proto
             repeated int32 depends_on = 6 [packed = true];
@@ -62,7 +62,7 @@
             bool checkpoints = 7;
             ```
         gang:
-            The tasks work only together.
+            The tasks can only run all together.
 
             ```proto
             bool gang = 8;
@@ -82,7 +82,7 @@
             string data_rack = 11;
             ```
         max_per_worker:
-            Tasks of the step that one worker may hold; 0 for any number.
+            Tasks of the step that may run on one worker; 0 for any number.
 
             ```proto
             int32 max_per_worker = 12;
@@ -104,13 +104,13 @@
             int32 latency_objective_ms = 16;
             ```
         fills:
-            The step takes what processor time the others leave.
+            The tasks are best-effort: they get the processor time that other tasks leave.
 
             ```proto
             bool fills = 17;
             ```
         may_miss:
-            Tasks that may be away at once because of planned work.
+            Tasks that may be unavailable at the same time because of planned work.
 
             ```proto
             int32 may_miss = 18;
@@ -192,7 +192,7 @@
             repeated pumicespur.v1.StepRecord steps = 4;
             ```
         repeats:
-            How often the steps run, 0 for once.
+            How often the steps run; 0 for once.
 
             ```proto
             int32 repeats = 5;
@@ -218,13 +218,13 @@
             bool cancelled = 9;
             ```
         ended:
-            The job has ended and the rest is dropped; kept so that the id is not taken anew.
+            The job has ended and the rest is dropped; the row stays so that the id is not reused.
 
             ```proto
             bool ended = 10;
             ```
         account:
-            The client account that handed the job in; empty on a public route.
+            The client account that submitted the job; empty on a public route.
 
             ```proto
             string account = 11;
@@ -268,7 +268,7 @@
 
 class TaskRecord(Message[_TaskRecordFields]):
     """
-    A task that has been started at least once and has not ended well.
+    A task that has been started at least once and has not succeeded.
 
     ```proto
     message pumicespur.v1.TaskRecord
@@ -276,19 +276,19 @@
 
     Attributes:
         index:
-            Place among all tasks of the job: repeats, then steps, then tasks.
+            Position among all tasks of the job: ordered by repeat, then step, then task.
 
             ```proto
             int32 index = 1;
             ```
         run:
-            Number of the newest start.
+            Number of the latest run.
 
             ```proto
             int32 run = 2;
             ```
         worker:
-            The worker that the newest start was meant for; empty when that start is over.
+            The worker to which the latest run was assigned; empty when that run is over.
 
             ```proto
             string worker = 3;
@@ -302,7 +302,7 @@
             string checkpoint = 5;
             ```
         losses:
-            Workers lost under the task since it last ran well for a while, oldest first.
+            Workers lost while running the task since it last ran stably for a while, oldest first.
 
             ```proto
             repeated pumicespur.v1.LossRecord losses = 6;
@@ -336,7 +336,7 @@
 
 class LossRecord(Message[_LossRecordFields]):
     """
-    A worker that was lost while a task that had just begun was on it.
+    The loss of a worker on which the task had just started.
 
     ```proto
     message pumicespur.v1.LossRecord
@@ -348,13 +348,13 @@
             string worker = 1;
             ```
         instance:
-            Empty where workers name no instance.
+            Empty where workers report no instance.
 
             ```proto
             string instance = 2;
             ```
         alone:
-            Nothing else can have been the cause.
+            Nothing but the task can have caused the loss.
 
             ```proto
             bool alone = 3;
@@ -400,7 +400,7 @@
             int32 attempts = 2;
             ```
         lost_workers:
-            Workers that the task brought down, if it was given up for that.
+            Workers that the task crashed, if that is why it was given up.
 
             ```proto
             repeated string lost_workers = 3;
@@ -428,7 +428,7 @@
 
 class LeftRun(Message[_LeftRunFields]):
     """
-    A run that may still be going on although its job has ended.
+    A run that may still be in progress although its job has ended.
 
     ```proto
     message pumicespur.v1.LeftRun
@@ -488,7 +488,7 @@
 
 class ProgressRecord(Message[_ProgressRecordFields]):
     """
-    How far a job has got.
+    Progress of a job.
 
     ```proto
     message pumicespur.v1.ProgressRecord
@@ -500,7 +500,7 @@
             pumicespur.v1.JobPhase phase = 1;
             ```
         done:
-            One bit for each task that ended well, lowest index first.
+            One bit per task, lowest index first; set if the task has succeeded.
 
             ```proto
             bytes done = 2;
@@ -584,20 +584,20 @@
             string process = 1;
             ```
         incarnation:
-            Names one life of the process.
+            Identifies one incarnation of the process.
 
             ```proto
             string incarnation = 2;
             ```
         released:
-            The owner has given the pool up and gives no more orders.
+            The owner has released the pool and gives no more orders.
 
             ```proto
             bool released = 3;
             ```
         leases_until_ms:
-            Time on the store's clock by which the leases of all owners before this one are over, in
-            milliseconds; a next owner whose predecessor is known to be gone must still wait for those.
+            Time on the store's clock by which the leases of all earlier owners have expired, in
+            milliseconds; the next owner must wait for it even if this owner is known to be gone.
 
             ```proto
             int64 leases_until_ms = 4;
@@ -627,7 +627,7 @@
 
 class CommitRecord(Message[_CommitRecordFields]):
     """
-    The last commit of an owner; each commit replaces it, so that no commit applies twice.
+    The last commit of an owner; each commit replaces it, so that no commit is applied twice.
 
     ```proto
     message pumicespur.v1.CommitRecord
@@ -663,7 +663,7 @@
 
 class WaitingCount(Message[_WaitingCountFields]):
     """
-    Jobs of one route of which no task has begun.
+    Number of jobs of one route of which no task has started.
 
     ```proto
     message pumicespur.v1.WaitingCount
@@ -699,7 +699,7 @@
 
 class WorkerReport(Message[_WorkerReportFields]):
     """
-    What a worker carries in its present life, as its pool's owner sees it.
+    Load of a worker's current incarnation, as known to its pool's owner.
 
     ```proto
     message pumicespur.v1.WorkerReport
@@ -727,7 +727,7 @@
             bool reachable = 4;
             ```
         evacuating:
-            The owner gives it no new tasks because the fleet's holder asked for that.
+            The owner gives it no new tasks because the fleet leader asked for that.
 
             ```proto
             bool evacuating = 5;
@@ -759,7 +759,7 @@
 
 class PartTransfer(Message[_PartTransferFields]):
     """
-    Parts of an account's limit that changed hands between a pool and another one, ever.
+    Totals ever transferred of a client account's allotment between a pool and another one.
 
     ```proto
     message pumicespur.v1.PartTransfer
@@ -803,7 +803,7 @@
 
 class PartRecord(Message[_PartRecordFields]):
     """
-    What a pool holds of an account's limit, apart from what all pools were given at first.
+    A pool's allotment of a client account's limit, as transfers on top of the initial allotment.
 
     ```proto
     message pumicespur.v1.PartRecord
@@ -839,7 +839,7 @@
 
 class FoundersRecord(Message[_FoundersRecordFields]):
     """
-    The pools that held equal parts of every account's limit at first; never changed.
+    The pools with equal initial allotments of every client account's limit; never changed.
 
     ```proto
     message pumicespur.v1.FoundersRecord
@@ -869,7 +869,7 @@
 
 class PartReport(Message[_PartReportFields]):
     """
-    What an owner tells about one account's part; only while parts are to change hands.
+    An owner's report of one client account's allotment; sent only while transfers are needed.
 
     ```proto
     message pumicespur.v1.PartReport
@@ -881,7 +881,7 @@
             string account = 1;
             ```
         held:
-            In millionths of the limit, as are the rest.
+            In millionths of the limit, as are all quantities below.
 
             ```proto
             int64 held = 2;
@@ -891,19 +891,19 @@
             int64 used = 3;
             ```
         lacking:
-            What waiting tasks lack, for which the pool's workers have room.
+            Shortfall of waiting tasks for which the pool's workers have free capacity.
 
             ```proto
             int64 lacking = 4;
             ```
         needed:
-            The part with which the first of them could start; 0 if none waits.
+            Allotment with which the first of these tasks could start; 0 if none is waiting.
 
             ```proto
             int64 needed = 5;
             ```
         transfers:
-            What is recorded as given, and what was taken.
+            Recorded totals given to and taken from each other pool.
 
             ```proto
             repeated pumicespur.v1.PartTransfer transfers = 6;
@@ -937,7 +937,7 @@
 
 class PoolReport(Message[_PoolReportFields]):
     """
-    What an owner tells about its pool.
+    An owner's report about its pool.
 
     ```proto
     message pumicespur.v1.PoolReport
@@ -961,19 +961,19 @@
             repeated pumicespur.v1.WorkerReport workers = 4;
             ```
         wanted_workers:
-            Workers that the pool ought to have; 0 while its owner does not know.
+            Workers that the pool should have; 0 while its owner does not know.
 
             ```proto
             int32 wanted_workers = 6;
             ```
         busy_workers:
-            Workers that the work of this second and its growth take, without what a past peak left.
+            Workers needed for the current load and its growth, without those kept after a past peak.
 
             ```proto
             int32 busy_workers = 7;
             ```
         arriving_cpu_millis:
-            Processor time that short jobs handed in lately keep busy, in thousandths of a core.
+            Processor load of recently submitted short jobs, in thousandths of a core.
 
             ```proto
             int32 arriving_cpu_millis = 8;
@@ -1015,7 +1015,7 @@
 
 class GivenUp(Message[_GivenUpFields]):
     """
-    A pool that a process has owned under a token and will extend no leases for.
+    A pool that a process owned under a token and for which it will renew no more leases.
 
     ```proto
     message pumicespur.v1.GivenUp
@@ -1051,7 +1051,7 @@
 
 class HeartbeatRecord(Message[_HeartbeatRecordFields]):
     """
-    What each process writes about itself at each heartbeat.
+    What a process writes about itself at each heartbeat.
 
     ```proto
     message pumicespur.v1.HeartbeatRecord
@@ -1075,7 +1075,7 @@
             int64 number = 4;
             ```
         unfit:
-            The process takes no pools, because it is stopping or can't reach what it needs.
+            The process takes no pools because it is stopping or cannot reach what it needs.
 
             ```proto
             bool unfit = 5;
@@ -1093,7 +1093,7 @@
             double capacity = 10;
             ```
         given_up:
-            The newest for each pool in this life of the process.
+            The latest for each pool in this incarnation of the process.
 
             ```proto
             repeated pumicespur.v1.GivenUp given_up = 11;
@@ -1131,7 +1131,7 @@
 
 class DutyReport(Message[_DutyReportFields]):
     """
-    What a process that owns pools, or holds the fleet's duty, tells the others that do.
+    Report of a process that owns pools or is the fleet leader, for the other such processes.
 
     ```proto
     message pumicespur.v1.DutyReport
@@ -1147,7 +1147,7 @@
             repeated pumicespur.v1.PoolReport pools = 2;
             ```
         evacuations:
-            Workers that the fleet's holder wants emptied, and the token it holds.
+            Workers that the fleet leader wants evacuated, and its fencing token.
 
             ```proto
             repeated string evacuations = 3;
@@ -1157,7 +1157,7 @@
             int64 fleet_token = 4;
             ```
         told_ms:
-            Time on the store's clock that had passed when it was told, in milliseconds; 0 if not known.
+            Lower bound of the store's clock when the report was made, in milliseconds; 0 if not known.
 
             ```proto
             int64 told_ms = 5;
@@ -1189,7 +1189,7 @@
 
 class OrderIntent(Message[_OrderIntentFields]):
     """
-    Instances that the holder of the fleet's duty may give orders for until its next record.
+    Instances for which the fleet leader may give orders until its next record.
 
     ```proto
     message pumicespur.v1.OrderIntent
@@ -1207,7 +1207,7 @@
             string process = 2;
             ```
         recorded_ms:
-            Time on the store's clock that had not passed when it was recorded, in milliseconds.
+            Upper bound of the store's clock when the intent was recorded, in milliseconds.
 
             ```proto
             int64 recorded_ms = 3;
@@ -1235,7 +1235,7 @@
 
 class OrderIntents(Message[_OrderIntentsFields]):
     """
-    The newest intents, so that a new holder knows which instances to leave alone for a while.
+    The latest intents, which tell a new fleet leader which instances to leave alone for a while.
 
     ```proto
     message pumicespur.v1.OrderIntents
@@ -1267,7 +1267,7 @@
 
 class WaveRecord(Message[_WaveRecordFields]):
     """
-    Which instances of a maintenance wave were ordered to go down.
+    Instances of a maintenance wave that were ordered down.
 
     ```proto
     message pumicespur.v1.WaveRecord
@@ -1303,7 +1303,7 @@
 
 class PoolSize(Message[_PoolSizeFields]):
     """
-    How many instances a pool came with.
+    Number of instances that a pool had initially.
 
     ```proto
     message pumicespur.v1.PoolSize
@@ -1339,7 +1339,7 @@
 
 class PeakRecord(Message[_PeakRecordFields]):
     """
-    A time in which a pool's callers asked for much more than usual.
+    A load peak: a period in which callers submitted much more to a pool than usual.
 
     ```proto
     message pumicespur.v1.PeakRecord
@@ -1351,7 +1351,7 @@
             string pool = 1;
             ```
         began_ms:
-            Times of day in milliseconds since 1970; 0 while it goes on.
+            Times of day in milliseconds since 1970; the end is 0 while the peak lasts.
 
             ```proto
             int64 began_ms = 2;
@@ -1361,7 +1361,7 @@
             int64 ended_ms = 3;
             ```
         cpu_millis:
-            The most processor time for which jobs were handed in, in thousandths of a core.
+            Maximum processor load of submitted jobs, in thousandths of a core.
 
             ```proto
             int32 cpu_millis = 4;
@@ -1391,7 +1391,7 @@
 
 class FleetMemory(Message[_FleetMemoryFields]):
     """
-    What a holder of the fleet's duty leaves to the next one.
+    State that a fleet leader leaves to the next one.
 
     ```proto
     message pumicespur.v1.FleetMemory
--- a/pumicespur/schema/operators_connect.py
+++ b/pumicespur/schema/operators_connect.py
@@ -33,7 +33,7 @@
 
 class Operators(Protocol):
     """
-    The operators' service, answered by every manager.
+    The operators' service, served by every manager.
     """
     async def apply(self, request: ApplyRequest, ctx: RequestContext[ApplyRequest, ApplyResponse], /) -> ApplyResponse:
         raise ConnectError(Code.UNIMPLEMENTED, 'Not implemented')
@@ -138,7 +138,7 @@
 
 class OperatorsClient(ConnectClient):
     """
-    The operators' service, answered by every manager.
+    The operators' service, served by every manager.
     """
     async def apply(
         self,
@@ -243,7 +243,7 @@
 
 class OperatorsSync(Protocol):
     """
-    The operators' service, answered by every manager.
+    The operators' service, served by every manager.
     """
     def apply(self, request: ApplyRequest, ctx: RequestContext[ApplyRequest, ApplyResponse], /) -> ApplyResponse:
         raise ConnectError(Code.UNIMPLEMENTED, 'Not implemented')
@@ -346,7 +346,7 @@
 
 class OperatorsClientSync(ConnectClientSync):
     """
-    The operators' service, answered by every manager.
+    The operators' service, served by every manager.
     """
     def apply(
         self,
--- a/pumicespur/schema/operators_pb.py
+++ b/pumicespur/schema/operators_pb.py
@@ -27,7 +27,7 @@
 
 class Finding(Message[_FindingFields]):
     """
-    One thing found wrong, with its place.
+    One problem found, with its location.
 
     ```proto
     message pumicespur.v1.Finding
@@ -87,7 +87,7 @@
 
 class Conflict(Message[_ConflictFields]):
     """
-    A section that somebody else changed after the caller's base revision.
+    A section that another author changed after the caller's base revision.
 
     ```proto
     message pumicespur.v1.Conflict
@@ -147,13 +147,13 @@
             optional pumicespur.v1.Removals removals = 3;
             ```
         base_revision:
-            The revision that the caller's files were last in line with.
+            The revision with which the caller's files last agreed.
 
             ```proto
             int64 base_revision = 4;
             ```
         dry_run:
-            Show what would change and change nothing.
+            Only show what would change.
 
             ```proto
             bool dry_run = 5;
@@ -323,7 +323,7 @@
             string process = 2;
             ```
         planner:
-            The holder of the planner duty, as far as this process knows.
+            The process that holds the planner lease, as far as this process knows.
 
             ```proto
             string planner = 3;
@@ -543,7 +543,7 @@
 
     Attributes:
         process:
-            The process to dump; empty for the one that answers.
+            The process to dump; empty for the one that receives the request.
 
             ```proto
             string process = 1;
--- a/pumicespur/schema/peer_pb.py
+++ b/pumicespur/schema/peer_pb.py
@@ -96,7 +96,7 @@
             int64 revision = 2;
             ```
         stopping:
-            The sender finishes its requests and takes no new ones.
+            The sender finishes its requests and accepts no new ones.
 
             ```proto
             bool stopping = 3;
@@ -194,7 +194,7 @@
 
     Attributes:
         snapshot:
-            Set when the records alone do not reach back far enough.
+            Set if the kept records do not reach back to the requested revision.
 
             ```proto
             optional pumicespur.v1.Snapshot snapshot = 1;
@@ -348,7 +348,7 @@
 
 class PeerReply(Message[_PeerReplyFields]):
     """
-    The field that answers the request is set, or the error.
+    Either the field that matches the request is set or the error.
 
     ```proto
     message pumicespur.v1.PeerReply
--- a/pumicespur/schema/platform_pb.py
+++ b/pumicespur/schema/platform_pb.py
@@ -40,7 +40,7 @@
             bytes value = 2;
             ```
         version:
-            Rises with each write of the row; 0 for a row that does not exist.
+            Increases with each write of the row; 0 for a row that does not exist.
 
             ```proto
             int64 version = 3;
@@ -68,7 +68,7 @@
 
 class Condition(Message[_ConditionFields]):
     """
-    Holds when the row has exactly this version (0: does not exist).
+    Met if the row has exactly this version (0: does not exist).
 
     ```proto
     message pumicespur.v1.Condition
@@ -184,7 +184,7 @@
 
     Attributes:
         failed:
-            Keys whose conditions failed; nothing was written when there is any.
+            Keys whose conditions failed; if there is any, nothing was written.
 
             ```proto
             repeated string failed = 1;
@@ -412,7 +412,7 @@
 
 class ListedInstance(Message[_ListedInstanceFields]):
     """
-    A backend instance as the platform lists it, some time ago.
+    A backend instance as the platform listed it some time ago.
 
     ```proto
     message pumicespur.v1.ListedInstance
@@ -456,7 +456,7 @@
             string boot = 8;
             ```
         drained:
-            The last order has taken hold and no request is running.
+            The last order has taken effect and no request is running.
 
             ```proto
             bool drained = 9;
@@ -616,7 +616,7 @@
 
 class TaskRequest(Message[_TaskRequestFields]):
     """
-    An order to start or stop one task on an instance; each token is run once.
+    An order to start or stop one task on an instance; the platform runs each token once.
 
     ```proto
     message pumicespur.v1.TaskRequest
@@ -704,7 +704,7 @@
 
 class TaskUsage(Message[_TaskUsageFields]):
     """
-    What one task was seen to use, some time ago.
+    Resource usage of one task, measured some time ago.
 
     ```proto
     message pumicespur.v1.TaskUsage
@@ -845,7 +845,7 @@
             ORDER_REBOOT = 2
             ```
         RESUME:
-            Take new work again after a drain.
+            Accept new work again after a drain.
 
             ```proto
             ORDER_RESUME = 3
--- a/pumicespur/schema/settings_pb.py
+++ b/pumicespur/schema/settings_pb.py
@@ -24,7 +24,7 @@
 
 class Option(Message[_OptionFields]):
     """
-    How a setting is written and checked.
+    Format and validation of a setting.
 
     ```proto
     message pumicespur.v1.Option
--- a/standins/schema/standins_pb.py
+++ b/standins/schema/standins_pb.py
@@ -45,13 +45,13 @@
             int32 list_lag_ms = 3;
             ```
         count:
-            Apply to this many writes, then stop; 0 for until changed.
+            Number of writes to which the fault applies; 0 for all until changed.
 
             ```proto
             int32 count = 4;
             ```
         restart_ms:
-            Close every connection, stay away for this long and come back with all rows.
+            Close every connection, stay down for this long and come back with all rows.
 
             ```proto
             int32 restart_ms = 5;
@@ -97,7 +97,7 @@
             repeated string removed = 2;
             ```
         controls:
-            Where each instance's stand-in takes orders, by instance.
+            Address at which each instance's stand-in accepts orders, by instance.
 
             ```proto
             map<string, string> controls = 3;
@@ -257,13 +257,13 @@
             bool resume = 4;
             ```
         reboot_ms:
-            Refuse everything for this long, then come back as a new boot.
+            Refuse everything for this long, then come back with a new boot id.
 
             ```proto
             int32 reboot_ms = 5;
             ```
         count:
-            Apply the fault to this many requests, then stop; 0 for until changed.
+            Number of requests to which the fault applies; 0 for all until changed.
 
             ```proto
             int32 count = 6;
@@ -417,7 +417,7 @@
             PLATFORM_FAULT_HANG = 2
             ```
         LOSE_ANSWERS:
-            Writes take effect and their answers are lost.
+            Writes take effect and their responses are lost.
 
             ```proto
             PLATFORM_FAULT_LOSE_ANSWERS = 3
@@ -441,37 +441,37 @@
             BACKEND_FAULT_UNSPECIFIED = 0
             ```
         FAIL:
-            Runs nothing and answers 500.
+            Runs nothing and responds with status 500.
 
             ```proto
             BACKEND_FAULT_FAIL = 1
             ```
         CLOSE:
-            Runs the request and closes without an answer.
+            Runs the request and closes the connection without a response.
 
             ```proto
             BACKEND_FAULT_CLOSE = 2
             ```
         TRUNCATE:
-            Runs the request and sends half of the answer.
+            Runs the request and sends half of the response.
 
             ```proto
             BACKEND_FAULT_TRUNCATE = 3
             ```
         SWAP:
-            Answers with the echo of another request.
+            Responds with the echo of another request.
 
             ```proto
             BACKEND_FAULT_SWAP = 4
             ```
         HANG:
-            Runs the request and never answers.
+            Runs the request and never responds.
 
             ```proto
             BACKEND_FAULT_HANG = 5
             ```
         DUPLICATE:
-            Answers, and sends the same answer once more.
+            Responds and sends the same response again.
 
             ```proto
             BACKEND_FAULT_DUPLICATE = 6
