--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real processes, faults from outside, promises checked meanwhile."""
+"""Randomized fault-injection soak test of real processes against the system's promises."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak's command line: run seeds, replay a plan, shrink a failing one."""
+"""Command line of the soak: run seeds, replay a plan, shrink a failing plan."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from cyclopts import App
 
 from soak._plan import Deployment, FaultKind, Plan, draw_plan, load_plan, save_plan
-from soak._run import Outcome, play
+from soak._run import Outcome, run_plan
 from soak.mutant import Mutant
 from standins.hosted import SUSPENDABLE_MODULE
 
 app = App(name="soak", help=__doc__)
 
-KEEP = Path("target/soak")
+DEFAULT_ARTIFACTS_DIR = Path("target/soak")
 
 
-def _show(outcome: Outcome) -> None:
+def _print_outcome(outcome: Outcome) -> None:
     kinds = ", ".join(sorted({fault.kind.value for fault in outcome.plan.faults}))
     verdict = "FAILED" if outcome.findings else "held"
     print(
@@ -41,27 +41,27 @@
     workers: int = 6,
     at_once: int = 2,
     kinds: list[FaultKind] | None = None,
-    keep: Path = KEEP,
+    keep: Path = DEFAULT_ARTIFACTS_DIR,
     module: str = SUSPENDABLE_MODULE,
 ) -> int:
-    """Play seeds one after the other, some beside each other; fresh ones if none is named."""
+    """Run the plans of consecutive seeds, several at once; new seeds unless one is given."""
     first = int(time.time()) % 10_000_000 if seed is None else seed
     deployment = Deployment(nodes=nodes, workers=workers)
     plans = [draw_plan(first + n, length_s, deployment, kinds or ()) for n in range(count)]
-    outcomes = asyncio.run(_play_all(plans, at_once, keep, module))
+    outcomes = asyncio.run(_run_plans(plans, at_once, keep, module))
     failed = [outcome.plan.seed for outcome in outcomes if outcome.findings]
     print(f"{count - len(failed)} seeds held, {len(failed)} failed: {failed}")
     return 1 if failed else 0
 
 
-async def _play_all(plans: list[Plan], at_once: int, keep: Path, module: str) -> list[Outcome]:
+async def _run_plans(plans: list[Plan], at_once: int, keep: Path, module: str) -> list[Outcome]:
     waiting = iter(plans)
     outcomes: list[Outcome] = []
 
     async def work() -> None:
         for plan in waiting:
-            outcomes.append(await play(plan, keep, module))
-            _show(outcomes[-1])
+            outcomes.append(await run_plan(plan, keep, module))
+            _print_outcome(outcomes[-1])
 
     async with asyncio.TaskGroup() as tasks:
         for _ in range(at_once):
@@ -70,21 +70,21 @@
 
 
 @app.command
-def replay(plan: Path, *, keep: Path = KEEP) -> int:
-    """Play a kept plan once more."""
-    outcome = asyncio.run(play(load_plan(plan), keep))
-    _show(outcome)
+def replay(plan: Path, *, keep: Path = DEFAULT_ARTIFACTS_DIR) -> int:
+    """Run a saved plan again."""
+    outcome = asyncio.run(run_plan(load_plan(plan), keep))
+    _print_outcome(outcome)
     return 1 if outcome.findings else 0
 
 
 @app.command
-def shrink(plan: Path, *, tries: int = 3, keep: Path = KEEP) -> int:
-    """Leave out faults one by one while the plan still fails, each time in some of `tries` runs."""
+def shrink(plan: Path, *, tries: int = 3, keep: Path = DEFAULT_ARTIFACTS_DIR) -> int:
+    """Remove every fault without which the plan still fails in at least one of `tries` runs."""
     smallest = load_plan(plan)
     for fault in list(smallest.faults):
         smaller = smallest.without(fault)
         for _ in range(tries):
-            if asyncio.run(play(smaller, keep)).findings:
+            if asyncio.run(run_plan(smaller, keep)).findings:
                 smallest = smaller
                 print(f"fails without {fault.kind.value}", flush=True)
                 break
@@ -92,7 +92,7 @@
     return 0
 
 
-DISTURBED_BY = {
+MUTANT_FAULT_KINDS = {
     Mutant.COMMITS_WITHOUT_CONDITIONS: (FaultKind.PAUSE_NODE, FaultKind.STORE_LINK_SILENT),
     Mutant.ENDS_CONFIRMED_UNRECORDED: (FaultKind.KILL_ALL_NODES, FaultKind.STORE_REFUSES),
     Mutant.LEASES_NOT_WAITED_OUT: (FaultKind.WORKER_SILENT, FaultKind.WORKER_LINKS_NO_ANSWERS),
@@ -114,21 +114,27 @@
     Mutant.LEAVING_NOT_ASKED_AGAIN: (FaultKind.WORKERS_RELEASED, FaultKind.COMMITS_REFUSED),
     Mutant.LIMITS_IGNORED: (FaultKind.HOT_ACCOUNT, FaultKind.LIMIT_FALLS),
 }
-"""Faults that show what each mutant lacks when they overlap."""
+"""Faults that, when they overlap, reveal the safeguard that each mutant lacks."""
 
 
 @app.command
 def mutants(
-    *names: Mutant, seed: int = 1, tries: int = 6, length_s: float = 12.0, keep: Path = KEEP
+    *names: Mutant,
+    seed: int = 1,
+    tries: int = 6,
+    length_s: float = 12.0,
+    keep: Path = DEFAULT_ARTIFACTS_DIR,
 ) -> int:
-    """Play the product with one guard taken out at a time, all if none is named."""
+    """Run the product with one safeguard removed at a time, or all in turn if none is named."""
     missed = []
-    for mutant, kinds in DISTURBED_BY.items():
+    for mutant, kinds in MUTANT_FAULT_KINDS.items():
         if names and mutant not in names:
             continue
         for number in range(seed, seed + tries):
             plan = draw_plan(number, length_s, Deployment(), kinds)
-            outcome = asyncio.run(play(plan, keep / mutant.value, f"soak.mutant {mutant.value}"))
+            outcome = asyncio.run(
+                run_plan(plan, keep / mutant.value, f"soak.mutant {mutant.value}")
+            )
             if outcome.findings:
                 print(f"{mutant.value}: found by seed {number}: {outcome.findings[0].promise}")
                 break
--- a/soak/_accounts.py
+++ b/soak/_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts of a run: which keys and limits were in force when, and what that promises."""
+"""Client accounts of a run: the keys and limits in force over time, and checks against them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.utils import monotonic
-from soak._histories import is_at_work
+from soak._run_history import is_running_at
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
@@ -16,99 +16,99 @@
     from standins.hosted import Run
 
 KEYED_ROUTE = "keyed"
-NAMES = ("first", "second")
-USUAL_LIMIT = 3000
-"""In thousandths of a core: six tasks."""
+ACCOUNT_NAMES = ("first", "second")
+NORMAL_LIMIT_CPU_MILLIS = 3000
+"""Enough for six tasks."""
 
-LOW_LIMIT = 1500
-WEIGHT = 4.0
+LOW_LIMIT_CPU_MILLIS = 1500
+ACCOUNT_WEIGHT = 4.0
 
 
 @dataclass
-class KeyLife:
-    """When a key was in force, in monotonic seconds."""
+class KeyValidity:
+    """The time in which an API key was declared, in monotonic seconds."""
 
     account: str
     key: str
-    began: float
-    ended: float = float("inf")
+    valid_from: float
+    valid_until: float = float("inf")
 
 
 @dataclass(frozen=True)
 class KeyProbe:
-    """A call with a key, made only to see what becomes of it."""
+    """A request made only to see whether its API key is accepted."""
 
     key: str
-    seen: Exchange
+    exchange: Exchange
 
 
 @dataclass
-class AccountBook:
-    """What the operators have declared of accounts, as time went on."""
+class AccountHistory:
+    """API keys and limits that the operators have declared, with their times."""
 
-    lives: list[KeyLife] = field(default_factory=list)
+    keys: list[KeyValidity] = field(default_factory=list)
     limits: dict[str, list[tuple[float, int]]] = field(default_factory=dict)
-    """By account: its limits and since when each was declared."""
+    """Limits by account, each with the monotonic time of its declaration, oldest first."""
 
     def __post_init__(self) -> None:
-        """Begin with one key each."""
-        for name in NAMES:
+        """Declare one key and the normal limit for each account."""
+        for name in ACCOUNT_NAMES:
             self.add_key(name)
-            self.set_limit(name, USUAL_LIMIT)
+            self.set_limit(name, NORMAL_LIMIT_CPU_MILLIS)
 
     def add_key(self, account: str) -> None:
-        """Give an account one key more."""
-        self.lives.append(KeyLife(account, f"key-{account}-{len(self.lives)}", monotonic()))
+        """Add a key to an account."""
+        self.keys.append(KeyValidity(account, f"key-{account}-{len(self.keys)}", monotonic()))
 
-    def drop_oldest_key(self, account: str) -> None:
-        """Take away the key that an account has had for longest."""
-        self._in_force(account)[0].ended = monotonic()
+    def revoke_oldest_key(self, account: str) -> None:
+        """Revoke the oldest key of an account."""
+        self._valid_keys(account)[0].valid_until = monotonic()
 
-    def set_limit(self, account: str, cpu: int) -> None:
-        """Declare a limit."""
-        self.limits.setdefault(account, []).append((monotonic(), cpu))
+    def set_limit(self, account: str, cpu_millis: int) -> None:
+        """Declare a new limit of an account, in thousandths of a core."""
+        self.limits.setdefault(account, []).append((monotonic(), cpu_millis))
 
-    def _in_force(self, account: str) -> list[KeyLife]:
-        return [k for k in self.lives if k.account == account and k.ended == float("inf")]
+    def _valid_keys(self, account: str) -> list[KeyValidity]:
+        return [k for k in self.keys if k.account == account and k.valid_until == float("inf")]
 
     def current_key(self, account: str) -> str:
-        """Return the key that an account's callers use."""
-        return self._in_force(account)[0].key
+        """Return the key that the account's callers use: the oldest one declared."""
+        return self._valid_keys(account)[0].key
 
-    def declared(self) -> list[dict[str, object]]:
-        """Write all accounts as operators do."""
+    def declarations(self) -> list[dict[str, object]]:
+        """Return all accounts as they are written in the configuration."""
         return [
             {
                 "name": name,
-                "apiKeys": [life.key for life in self._in_force(name)],
-                "weight": WEIGHT,
+                "apiKeys": [validity.key for validity in self._valid_keys(name)],
+                "weight": ACCOUNT_WEIGHT,
                 "upperLimit": {"cpu": self.limits[name][-1][1], "memMb": 0, "gpu": 0},
             }
-            for name in NAMES
+            for name in ACCOUNT_NAMES
         ]
 
     def highest_limit(self, account: str, since: float, until: float) -> int:
-        """Return the highest limit that was declared at some time of a span."""
-        declared = self.limits[account]
-        ends = [at for at, _ in declared[1:]] + [float("inf")]
+        """Return the highest limit declared at any time between `since` and `until`."""
+        declarations = self.limits[account]
+        ends = [at for at, _ in declarations[1:]] + [float("inf")]
         return max(
-            cpu
-            for (at, cpu), end in zip(declared, ends, strict=True)
+            cpu_millis
+            for (at, cpu_millis), end in zip(declarations, ends, strict=True)
             if at <= until and end > since
         )
 
 
-def runs_over_limit(
-    book: AccountBook,
+def find_runs_over_limit(
+    account_history: AccountHistory,
     jobs: dict[str, SentJob],
     history: list[Run],
-    known_since: Callable[[float], float],
-    task_cpu: int,
+    in_force_since: Callable[[float], float],
+    task_cpu_millis: int,
 ) -> Iterator[str]:
-    """Find starts that take an account over each limit that may have been in force.
+    """Find starts that take an account over every limit that may have been in force.
 
-    `known_since` tells for a time from when on configurations count: those before were surely
-    replaced everywhere.
+    For a given time, `in_force_since` returns the time from which on declarations count: what was
+    replaced before has been replaced on every node.
     """
     by_account: defaultdict[str, list[Run]] = defaultdict(list)
     for run in history:
@@ -118,26 +118,31 @@
     for account, runs in by_account.items():
         for run in runs:
             at = run.started_at
-            running = sum(is_at_work(other, at) for other in runs) * task_cpu
-            limit = book.highest_limit(account, known_since(at), at)
+            running = sum(is_running_at(other, at) for other in runs) * task_cpu_millis
+            limit = account_history.highest_limit(account, in_force_since(at), at)
             if running > limit:
                 yield f"{account}: {running} of {limit} with {run}"
 
 
-def keys_misjudged(
-    book: AccountBook, probes: list[KeyProbe], known_since: Callable[[float], float]
+def find_key_violations(
+    account_history: AccountHistory,
+    probes: list[KeyProbe],
+    in_force_since: Callable[[float], float],
 ) -> Iterator[str]:
-    """Find calls that were served with a key not in force, or refused with one that was."""
+    """Find requests that were served with an invalid key, or refused with a valid one."""
     for probe in probes:
-        life = next((k for k in book.lives if k.key == probe.key), None)
-        sent_at = probe.seen.sent_at
-        served = probe.seen.status in (200, 410)
-        if life is None:
-            wrong = served
-        elif served:
-            wrong = life.ended < known_since(sent_at)
+        validity = next((k for k in account_history.keys if k.key == probe.key), None)
+        sent_at = probe.exchange.sent_at
+        is_served = probe.exchange.status in (200, 410)
+        if validity is None:
+            is_violation = is_served
+        elif is_served:
+            is_violation = validity.valid_until < in_force_since(sent_at)
         else:
-            known = life.began < known_since(sent_at) and life.ended > probe.seen.ended_at
-            wrong = known and probe.seen.status == 401
-        if wrong:
-            yield f"{probe.key}: {probe.seen}"
+            was_in_force = (
+                validity.valid_from < in_force_since(sent_at)
+                and validity.valid_until > probe.exchange.ended_at
+            )
+            is_violation = was_in_force and probe.exchange.status == 401
+        if is_violation:
+            yield f"{probe.key}: {probe.exchange}"
--- a/soak/_checker.py
+++ b/soak/_checker.py
@@ -1,4 +1,4 @@
-"""The promises, judged from what callers, workers and the platform saw; never the product."""
+"""Checks of the promises against what callers, workers and platform saw, never the product."""
 
 from __future__ import annotations
 
@@ -8,10 +8,17 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.utils import monotonic
-from soak._accounts import keys_misjudged, runs_over_limit
-from soak._callers import TASK_CPU, UNANSWERED, JobKind
-from soak._histories import all_done, by_task, done_at, has_failed, is_at_work, runs_of
-from soak._world import MAINTENANCE_S
+from soak._accounts import find_key_violations, find_runs_over_limit
+from soak._callers import NO_RESPONSE, TASK_CPU_MILLIS, JobKind
+from soak._run_history import (
+    group_by_task,
+    has_exhausted_attempts,
+    is_completed,
+    is_running_at,
+    runs_of_step,
+    step_completed_at,
+)
+from soak._world import MAINTENANCE_DURATION_S
 from standins.hosted import MAX_ATTEMPTS
 
 if TYPE_CHECKING:
@@ -22,51 +29,53 @@
     from soak._world import SoakWorld
     from standins.hosted import FleetOrder, Run
 
-CANCEL_S = 2.0
-"""Time after a confirmed cancellation, in calm, in which its tasks end: a lease and two looks."""
+CANCEL_TIMEOUT_S = 2.0
+"""Time after a confirmed cancellation by which the job's tasks have ended, without faults: a lease
+and two polls."""
 
-DRAIN_S = 1.2
-"""Time after a worker's word that it leaves until nothing may start there (nodes' settings)."""
+DRAIN_TIMEOUT_S = 1.2
+"""Time from which no task may start on a worker that has announced to leave; `drain_ms` of the
+nodes' settings."""
 
-STOP_S = 0.4
-"""Time by which a stop may be carried out after it was ordered."""
+STOP_TIMEOUT_S = 0.4
+"""Time by which an ordered stop has been carried out."""
 
-AWAY_S = 1.5
-"""Time for which a lasting task may be away before it counts for the budget: a lease of a
-worker in a soak, and the time that its start takes."""
+MAX_AWAY_S = 1.5
+"""Time for which a long-running task may be unavailable before it counts towards the budget:
+a worker's lease in the soak, and the time to start the task again."""
 
-CONFIGURED_S = 1.5
-"""Time after which a configuration is in force everywhere, in calm."""
+CONFIGURE_TIMEOUT_S = 1.5
+"""Time by which a configuration is in force on every node, without faults."""
 
-OUT_OF_DATE = "the configuration here is out of date"
-"""How a refusal begins by which a process says that it lacks a configuration."""
+OUT_OF_DATE_PREFIX = "the configuration here is out of date"
+"""Start of the reason with which a process refuses requests while it lacks a configuration."""
 
-SETTLED_S = 2.0
-"""Calm that time-bound promises ask for beforehand."""
+MIN_FAULT_FREE_S = 2.0
+"""Time without faults before time limits apply."""
 
-CRASHING_STARTS = 5
-"""Starts of a task that brings workers down: three, and two more until it is given up."""
+MAX_CRASHING_STARTS = 5
+"""Starts of a task that crashes workers: three, and two more until it is given up."""
 
-ROOM_S = 1.5
-"""Time after which a room that has shrunk is known, in calm."""
+CAPACITY_UPDATE_TIMEOUT_S = 1.5
+"""Time by which a reduced worker capacity is known, without faults."""
 
-ORDER_S = 0.5
-"""Time by which an order for an instance has taken its worker down."""
+ORDER_TIMEOUT_S = 0.5
+"""Time by which an order for an instance has ended its worker."""
 
-SPECULATION_S = 1.0
-"""Time after a confirmed end in which a speculative task may still start elsewhere."""
+SPECULATION_TIMEOUT_S = 1.0
+"""Time after a confirmed end during which another start of a speculative task is accepted."""
 
 
 @dataclass(frozen=True)
 class Finding:
-    """A promise that was broken."""
+    """A broken promise."""
 
     promise: str
     detail: str
 
 
 class Checker:
-    """Judges a run; `check` may be called at any time, `check_settled` at its end."""
+    """Checks the promises; call `check` at any time and `check_settled` at the end of a run."""
 
     def __init__(self, world: SoakWorld, callers: list[Caller], injector: Injector) -> None:
         self.world = world
@@ -76,41 +85,41 @@
 
     @property
     def jobs(self) -> dict[str, SentJob]:
-        """Return every job that a caller has sent."""
+        """Return every job that a caller has sent, by id."""
         return {job.id: job for caller in self.callers for job in caller.jobs}
 
     def check(self) -> None:
-        """Judge what holds at any moment."""
-        runs = by_task(self.world.history)
+        """Check the promises that hold at any time."""
+        runs = group_by_task(self.world.history)
         for check in (
-            self._once(runs),
-            self._attempts(runs),
-            self._crashes(runs),
-            self._rooms(),
-            self._leaving(),
-            self._limits(),
-            self._keys(),
-            self._asked_for(),
-            self._steps_in_order(runs),
-            self._states(runs),
-            self._cancelled_stay_so(),
-            self._budgets(runs),
-            self._fleet_orders(),
-            self._configurations(),
-            self._routes_added(),
-            self._processes(),
+            self._check_single_runs(runs),
+            self._check_attempts(runs),
+            self._check_crashing_jobs(runs),
+            self._check_capacity(),
+            self._check_leaving_workers(),
+            self._check_account_limits(),
+            self._check_api_keys(),
+            self._check_runs_requested(),
+            self._check_step_order(runs),
+            self._check_reported_states(runs),
+            self._check_cancellations(),
+            self._check_budgets(runs),
+            self._check_fleet_orders(),
+            self._check_configuration_order(),
+            self._check_added_routes(),
+            self._check_processes(),
         ):
             self.findings.update(check)
 
     def check_settled(self) -> None:
-        """Judge what has to be so once all faults lie behind."""
+        """Check all promises, also those that hold once all faults are over."""
         self.check()
-        for check in (self._nothing_lost(), self._waves_done()):
+        for check in (self._check_nothing_lost(), self._check_waves_completed()):
             self.findings.update(check)
 
-    def _once(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
+    def _check_single_runs(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
         for task, found in runs.items():
-            speculative = self._may_run_beside_itself(task)
+            speculative = self._is_speculative(task)
             for before, after in zip(found, found[1:], strict=False):
                 ended_at = before.ended_at if before.ended_at is not None else float("inf")
                 if after.started_at < ended_at and not speculative:
@@ -118,68 +127,90 @@
             done = next((r for r in found if r.how == "done" and r.acknowledged_at), None)
             if done is None or done.acknowledged_at is None:
                 continue
-            final_at = done.acknowledged_at + SPECULATION_S if speculative else done.started_at
+            final_at = (
+                done.acknowledged_at + SPECULATION_TIMEOUT_S if speculative else done.started_at
+            )
             if found[-1].started_at > final_at:
                 yield Finding("a task that is done does not run again", f"{task} {found[-1]}")
 
-    def _may_run_beside_itself(self, task: str) -> bool:
+    def _is_speculative(self, task: str) -> bool:
         job = self.jobs.get(task.partition(".")[0])
         return job is not None and bool(job.steps[int(task.split(".")[2])].get("speculative"))
 
-    def _attempts(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
+    def _check_attempts(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
         for task, found in runs.items():
             failed = [r for r in found if r.how == "failed" and r.acknowledged_at]
             if len(failed) >= MAX_ATTEMPTS and found[-1].started_at > failed[-1].started_at:
                 yield Finding("attempts are bounded", task)
 
-    def _crashes(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
+    def _check_crashing_jobs(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
         for job in self.jobs.values():
             found = runs.get(f"{job.id}.0.0.0", [])
-            if job.kind is JobKind.CRASHING and len(found) > CRASHING_STARTS:
+            if job.kind is JobKind.CRASHING and len(found) > MAX_CRASHING_STARTS:
                 yield Finding("a task that brings workers down is given up", str(found[-1]))
 
-    def _rooms(self) -> Iterator[Finding]:
-        """Judge that no start brings a worker over its room, as far as that could be known."""
+    def _check_capacity(self) -> Iterator[Finding]:
+        """Check that no start exceeds the capacity that the worker was known to have."""
         by_worker = defaultdict(list)
         for run in self.world.history:
             by_worker[run.worker].append(run)
         for worker, runs in by_worker.items():
             for run in runs:
-                beside = [r for r in runs if is_at_work(r, run.started_at)]
-                if len(beside) * TASK_CPU > self._room(worker, run.started_at):
+                concurrent = [r for r in runs if is_running_at(r, run.started_at)]
+                if len(concurrent) * TASK_CPU_MILLIS > self._max_known_capacity(
+                    worker, run.started_at
+                ):
                     yield Finding("no start brings a worker over its room", str(run))
 
-    def _room(self, worker: str, at: float) -> float:
-        """Return the largest room that a worker had lately, or ever if it could not be known."""
-        rooms = self.world.rooms[worker]
-        if self.injector.calm_since(at) > at - ROOM_S:
-            return max(cpu for _, cpu in rooms)
-        since = max((began for began, _ in rooms if began <= at - ROOM_S), default=0.0)
-        return max(cpu for began, cpu in rooms if began >= since)
-
-    def _known_since(self, at: float) -> float:
-        """Return since when declarations may have been in force at a time; all before a calm."""
-        calm = self.injector.calm_since(at) + SETTLED_S < at - CONFIGURED_S
-        return at - CONFIGURED_S if calm else float("-inf")
-
-    def _leaving(self) -> Iterator[Finding]:
-        """Judge without excuses: an order that comes too late is one that the worker refuses."""
-        for run in self.world.starts_on_leaving(DRAIN_S):
+    def _max_known_capacity(self, worker: str, at: float) -> float:
+        """Return a worker's max capacity of late, or of all time if faults may have hidden a change.
+
+        The unit is thousandths of a core.
+        """
+        capacities = self.world.rooms[worker]
+        if self.injector.fault_free_since(at) > at - CAPACITY_UPDATE_TIMEOUT_S:
+            return max(cpu_millis for _, cpu_millis in capacities)
+        since = max(
+            (began for began, _ in capacities if began <= at - CAPACITY_UPDATE_TIMEOUT_S),
+            default=0.0,
+        )
+        return max(cpu_millis for began, cpu_millis in capacities if began >= since)
+
+    def _in_force_since(self, at: float) -> float:
+        """Return the time since which declarations may have been in force at a given time.
+
+        Without a long enough time free of faults before it, any declaration may be in force.
+        """
+        is_settled = (
+            self.injector.fault_free_since(at) + MIN_FAULT_FREE_S < at - CONFIGURE_TIMEOUT_S
+        )
+        return at - CONFIGURE_TIMEOUT_S if is_settled else float("-inf")
+
+    def _check_leaving_workers(self) -> Iterator[Finding]:
+        """Check that workers stop getting tasks after their announcement.
+
+        Faults are no excuse here, because the worker refuses an order that arrives too late.
+        """
+        for run in self.world.starts_on_leaving(DRAIN_TIMEOUT_S):
             yield Finding("nothing starts on a worker that leaves", str(run))
 
-    def _limits(self) -> Iterator[Finding]:
-        found = runs_over_limit(
-            self.world.book, self.jobs, self.world.history, self._known_since, TASK_CPU
+    def _check_account_limits(self) -> Iterator[Finding]:
+        found = find_runs_over_limit(
+            self.world.account_history,
+            self.jobs,
+            self.world.history,
+            self._in_force_since,
+            TASK_CPU_MILLIS,
         )
         for detail in found:
             yield Finding("an account keeps to its limit", detail)
 
-    def _keys(self) -> Iterator[Finding]:
+    def _check_api_keys(self) -> Iterator[Finding]:
         probes = [probe for caller in self.callers for probe in caller.key_probes]
-        for detail in keys_misjudged(self.world.book, probes, self._known_since):
+        for detail in find_key_violations(self.world.account_history, probes, self._in_force_since):
             yield Finding("keys count while they are in force", detail)
 
-    def _asked_for(self) -> Iterator[Finding]:
+    def _check_runs_requested(self) -> Iterator[Finding]:
         jobs = self.jobs
         for run in self.world.history:
             job = jobs.get(run.task.partition(".")[0])
@@ -187,19 +218,19 @@
                 yield Finding("only what was asked for runs", str(run))
             elif run.payload != job.kind.value:
                 yield Finding("a task gets its own payload", str(run))
-            elif job.submissions and job.refused:
+            elif job.submissions and job.is_refused:
                 yield Finding("a refused job does not run", f"{run} {job.submissions}")
 
-    def _steps_in_order(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
+    def _check_step_order(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
         for job in self.jobs.values():
             for number, step in enumerate(job.steps):
                 for earlier in step.get("dependsOn", []):
-                    ended = done_at(runs, job, earlier)
-                    for run in runs_of(runs, job, number):
+                    ended = step_completed_at(runs, job, earlier)
+                    for run in runs_of_step(runs, job, number):
                         if ended is None or run.started_at < ended:
                             yield Finding("steps run in order", str(run))
 
-    def _states(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
+    def _check_reported_states(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
         for job in self.jobs.values():
             accepted_at = job.accepted_at
             cancel_at = job.cancel_sent_at or float("inf")
@@ -207,127 +238,131 @@
                 unknown = seen.method == "GET" and seen.status == 410
                 if unknown and accepted_at is not None and seen.sent_at > accepted_at:
                     yield Finding("an accepted job is known", str(seen))
-                if seen.state == "completed" and not all_done(runs, job):
+                if seen.state == "completed" and not is_completed(runs, job):
                     yield Finding("a completed job has ended", str(seen))
                 if seen.state == "cancelled" and seen.ended_at < cancel_at:
                     yield Finding("only callers cancel", str(seen))
                 crashes = job.kind is JobKind.CRASHING
-                if seen.state == "failed" and not crashes and not has_failed(runs, job):
+                if seen.state == "failed" and not crashes and not has_exhausted_attempts(runs, job):
                     yield Finding("a failed job has used its attempts", str(seen))
 
-    def _cancelled_stay_so(self) -> Iterator[Finding]:
+    def _check_cancellations(self) -> Iterator[Finding]:
         now = monotonic()
         for run in self.world.history:
             job = self.jobs.get(run.task.partition(".")[0])
             if job is None or job.cancelled_at is None:
                 continue
-            calm_at = max(job.cancelled_at, run.started_at, self.injector.calm_since(now))
-            if run.ended_at is None and now > calm_at + SETTLED_S + CANCEL_S:
+            due_from = max(job.cancelled_at, run.started_at, self.injector.fault_free_since(now))
+            if run.ended_at is None and now > due_from + MIN_FAULT_FREE_S + CANCEL_TIMEOUT_S:
                 yield Finding("tasks of a cancelled job end", str(run))
 
-    def _budgets(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
+    def _check_budgets(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
         for job in self.jobs.values():
-            if job.kind is not JobKind.LASTING:
+            if job.kind is not JobKind.LONG_RUNNING:
                 continue
-            members = [runs.get(f"{job.id}.0.0.{n}", []) for n in range(job.size_of(0))]
+            members = [runs.get(f"{job.id}.0.0.{n}", []) for n in range(job.task_count(0))]
             for found in members:
                 others = [other for other in members if other is not found]
                 for run in found:
-                    yield from self._stopped_within_budget(job, run, others)
+                    yield from self._check_budget_at_stop(job, run, others)
 
-    def _stopped_within_budget(
+    def _check_budget_at_stop(
         self, job: SentJob, run: Run, others: list[list[Run]]
     ) -> Iterator[Finding]:
-        """Judge an end that an order caused, unless the job was to be cancelled."""
-        at = self._ended_by_order_at(run)
+        """Check the budget when an order ended a run, unless the job was being cancelled."""
+        at = self._ordered_end_at(run)
         if at is None or at > (job.cancel_sent_at or float("inf")):
             return
-        away = sum(1 for other in others if self._is_away(other, at))
+        away = sum(1 for other in others if self._is_unavailable(other, at))
         if away >= int(job.steps[0]["may_miss"]):
             yield Finding("budgets hold", f"{run} ended by order while {away} others were away")
 
-    def _ended_by_order_at(self, run: Run) -> float | None:
+    def _ordered_end_at(self, run: Run) -> float | None:
         if run.how == "stopped":
             return run.stop_ordered_at
         if run.how == "gone" and run.ended_at is not None:
-            # A worker may start again under its id, so that an order may be for a later life.
+            # A worker may restart under its id, so the order may be for a later incarnation.
             ordered = [o.at for o in self.world.fleet.orders if o.worker == run.worker]
-            return next((at for at in ordered if abs(run.ended_at - at) < ORDER_S), None)
+            return next((at for at in ordered if abs(run.ended_at - at) < ORDER_TIMEOUT_S), None)
         return None
 
-    def _is_away(self, found: list[Run], at: float) -> bool:
-        """Whether a task was away by an order, or for longer than any cause excuses."""
-        if any(is_at_work(run, at) for run in found):
+    def _is_unavailable(self, found: list[Run], at: float) -> bool:
+        """Return whether a task was unavailable by an order, or for longer than `MAX_AWAY_S`."""
+        if any(is_running_at(run, at) for run in found):
             return False
         ended = [r for r in found if r.ended_at is not None and r.ended_at <= at]
         if not ended:
             return False
         last = max(ended, key=lambda run: run.ended_at or 0.0)
-        ordered = self._ended_by_order_at(last) is not None
-        return ordered or at - (last.ended_at or at) > AWAY_S
+        ordered = self._ordered_end_at(last) is not None
+        return ordered or at - (last.ended_at or at) > MAX_AWAY_S
 
-    def _fleet_orders(self) -> Iterator[Finding]:
+    def _check_fleet_orders(self) -> Iterator[Finding]:
         orders = self.world.fleet.orders
         for before, after in zip(orders, orders[1:], strict=False):
             if after.token < before.token:
                 yield Finding("orders for instances keep to one holder", f"{before} {after}")
             if after.token == before.token and after.holder != before.holder:
                 yield Finding("a token has one holder", f"{before} {after}")
-        at_once = min((wave.at_once for wave in self.injector.waves), default=0)
+        max_parallel = min((wave.max_parallel for wave in self.injector.waves), default=0)
         if len(self.injector.waves) == 1:
-            yield from _within_limit([o for o in orders if o.kind == "maintain"], at_once)
+            yield from _check_wave_limit([o for o in orders if o.kind == "maintain"], max_parallel)
 
-    def _waves_done(self) -> Iterator[Finding]:
+    def _check_waves_completed(self) -> Iterator[Finding]:
         ordered = {o.instance for o in self.world.fleet.orders if o.kind == "maintain"}
         for wave in self.injector.waves:
-            told = self.world.store.value(("status", "", f"wave/{wave.number}")) or b"{}"
-            if json.loads(told).get("state") != "completed":
+            status = self.world.store.value(("status", "", f"wave/{wave.number}")) or b"{}"
+            if json.loads(status).get("state") != "completed":
                 yield Finding("waves come to an end", str(wave))
             elif not ordered >= set(wave.instances):
                 yield Finding("a completed wave has maintained all", str(wave))
 
-    def _configurations(self) -> Iterator[Finding]:
-        """Judge by routes that exist in one version each, life by life of the processes."""
+    def _check_configuration_order(self) -> Iterator[Finding]:
+        """Check that no process goes back to an older configuration.
+
+        Each version has a route of its own, so a served route shows the version in force.
+        """
         known: dict[int, tuple[int, float]] = {}
-        probes = [probe for probe in self._probes() if probe.path.startswith("/v")]
+        probes = [probe for probe in self._route_probes() if probe.path.startswith("/v")]
         for seen in sorted(probes, key=lambda exchange: exchange.ended_at):
             version = int(seen.path.strip("/").removeprefix("v"))
-            newest, since = known.get(seen.life, (0, 0.0))
-            if seen.status in (UNANSWERED, 404):
+            newest, since = known.get(seen.pid, (0, 0.0))
+            if seen.status in (NO_RESPONSE, 404):
                 continue
             if version < newest and seen.sent_at > since:
                 yield Finding("configurations are not undone", str(seen))
             if version > newest:
-                known[seen.life] = (version, seen.ended_at)
+                known[seen.pid] = (version, seen.ended_at)
 
-    def _routes_added(self) -> Iterator[Finding]:
-        """Judge by routes that all later configurations have, while nothing unplanned strikes."""
-        for seen in self._probes():
-            added_at = self.world.added.get(seen.path.strip("/"))
-            refused = seen.status == 404 or seen.reason.startswith(OUT_OF_DATE)
+    def _check_added_routes(self) -> Iterator[Finding]:
+        """Check that permanent routes are served in time while there are no unplanned faults."""
+        for seen in self._route_probes():
+            added_at = self.world.added_routes.get(seen.path.strip("/"))
+            refused = seen.status == 404 or seen.reason.startswith(OUT_OF_DATE_PREFIX)
             if added_at is None or not refused:
                 continue
-            calm_at = max(
-                added_at + CONFIGURED_S, self.injector.calm_since(seen.sent_at) + SETTLED_S
+            due_from = max(
+                added_at + CONFIGURE_TIMEOUT_S,
+                self.injector.fault_free_since(seen.sent_at) + MIN_FAULT_FREE_S,
             )
-            if seen.sent_at > calm_at:
+            if seen.sent_at > due_from:
                 yield Finding("an added route is served in time", str(seen))
 
-    def _probes(self) -> Iterable[Exchange]:
-        return (probe for caller in self.callers for probe in caller.probes)
+    def _route_probes(self) -> Iterable[Exchange]:
+        return (probe for caller in self.callers for probe in caller.route_probes)
 
-    def _processes(self) -> Iterator[Finding]:
-        for node in self.world.lives:
+    def _check_processes(self) -> Iterator[Finding]:
+        for node in self.world.started_nodes:
             if node.process.poll() is not None and node.process.pid not in self.world.expected_ends:
                 yield Finding("processes end only when asked", f"{node.name} {node.process.pid}")
         for node in self.world.nodes.nodes.values():
             text = node.log.read_text()
             if "Traceback" in text:
                 yield Finding("no process meets an error it does not expect", node.name)
-            if any(life.key in text for life in self.world.book.lives):
+            if any(validity.key in text for validity in self.world.account_history.keys):
                 yield Finding("no key stands in a log", node.name)
 
-    def _nothing_lost(self) -> Iterator[Finding]:
+    def _check_nothing_lost(self) -> Iterator[Finding]:
         running = {run.task for run in self.world.history if run.ended_at is None}
         for job in self.jobs.values():
             if job.accepted_at is None or job.cancel_sent_at is not None:
@@ -336,14 +371,14 @@
                 yield Finding("accepted jobs complete", f"{job.id} {job.exchanges[-1]}")
             if job.kind is JobKind.CRASHING and job.exchanges[-1].state != "failed":
                 yield Finding("a job that brings workers down is given up", str(job.exchanges[-1]))
-            if job.kind is JobKind.LASTING:
-                missing = {f"{job.id}.0.0.{n}" for n in range(job.size_of(0))} - running
+            if job.kind is JobKind.LONG_RUNNING:
+                missing = {f"{job.id}.0.0.{n}" for n in range(job.task_count(0))} - running
                 if missing:
                     yield Finding("lasting tasks are at work", str(sorted(missing)))
 
 
-def _within_limit(orders: list[FleetOrder], at_once: int) -> Iterator[Finding]:
+def _check_wave_limit(orders: list[FleetOrder], max_parallel: int) -> Iterator[Finding]:
     for order in orders:
-        down = [o for o in orders if o.at <= order.at < o.at + MAINTENANCE_S]
-        if len(down) > at_once:
+        down = [o for o in orders if o.at <= order.at < o.at + MAINTENANCE_DURATION_S]
+        if len(down) > max_parallel:
             yield Finding("a wave keeps to its limit", str(down))
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Carry out the faults of a plan, and note when each was in force."""
+"""Injection of a plan's faults, with a record of when each was in force."""
 
 from __future__ import annotations
 
@@ -10,11 +10,16 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.utils import monotonic
-from soak._accounts import LOW_LIMIT, NAMES, USUAL_LIMIT
-from soak._leaving import LEAVING_KINDS, UNHEARD_KINDS, keep_unheard, let_leave
+from soak._accounts import ACCOUNT_NAMES, LOW_LIMIT_CPU_MILLIS, NORMAL_LIMIT_CPU_MILLIS
+from soak._leaving import (
+    DEPARTURE_KINDS,
+    WORKER_RECORD_KINDS,
+    block_worker_records,
+    make_workers_leave,
+)
 from soak._plan import FaultKind
 from soak._restarts import RESTART_KINDS, restart_workers
-from soak._world import FOREIGN
+from soak._world import FOREIGN_PREFIX
 from standins.hosted import FOREIGN_ENTRIES, WORKER_CPU, Passage
 
 if TYPE_CHECKING:
@@ -25,31 +30,31 @@
     from soak._world import NodeLinks, SoakWorld
     from standins.hosted import HostedWorker, Link, Node
 
-END_S = 6.0
-"""Time for a node to end after SIGTERM; its own grace period is 3 s."""
+NODE_END_TIMEOUT_S = 6.0
+"""Time for a node to end after SIGTERM; its grace period is 3 s."""
 
-SHRUNK_CPU = 1000
-"""Room of a worker that has shrunk: two tasks."""
+SHRUNK_CPU_MILLIS = 1000
+"""Capacity of a worker that has shrunk: two tasks."""
 
-SLOW_CLOCK = 0.98
-"""Speed of a worker's clock at the least (users' protocol page: 2% slow)."""
+SLOW_CLOCK_RATIO = 0.98
+"""Min speed of a worker's clock; the users' protocol page allows 2% slow."""
 
-LATE_S = 0.8
-"""How much later a late order or write is carried out, at most."""
+MAX_LATE_S = 0.8
+"""Max delay of a late start or write."""
 
-SLOW_S = 0.4
-"""Longest delay that a slow store or link adds."""
+MAX_ADDED_DELAY_S = 0.4
+"""Max delay that a slow store or link adds."""
 
 THIN_BYTES_PER_S = 150_000
-"""What a thin link carries: one large configuration in half a second."""
+"""Bandwidth of a thin link: one large configuration takes half a second."""
 
-ROUTES_MORE = 300
-"""Routes that a large configuration has besides."""
+EXTRA_ROUTES = 300
+"""Additional routes of a large configuration."""
 
-OFTEN_S = 0.2
-"""Pause between configurations in quick succession, shorter than one takes over a thin link."""
+CONFIGURE_INTERVAL_S = 0.2
+"""Interval of configurations in quick succession; shorter than one takes over a thin link."""
 
-PLANNED = frozenset(
+PLANNED_KINDS = frozenset(
     {
         FaultKind.STOP_NODE,
         FaultKind.RELOAD_NODE,
@@ -65,86 +70,88 @@
         FaultKind.WAVE,
     }
 )
-"""Planned work, and what is no fault to those that watch for it: every promise holds meanwhile."""
+"""Planned work and other events that are no faults: every promise must hold during them."""
 
 
-def _account(fault: Fault) -> str:
-    return NAMES[fault.target % len(NAMES)]
+def _account_name(fault: Fault) -> str:
+    return ACCOUNT_NAMES[fault.target % len(ACCOUNT_NAMES)]
 
 
 @dataclass
-class Span:
-    """When a fault was in force, in monotonic seconds."""
+class FaultPeriod:
+    """The time during which a fault was in force, in monotonic seconds."""
 
     fault: Fault
-    began: float
-    ended: float = float("inf")
+    started_at: float
+    ended_at: float = float("inf")
 
 
 @dataclass(frozen=True)
 class WaveOrder:
-    """A maintenance wave as the operator asked for it."""
+    """A maintenance wave as the operator ordered it."""
 
     number: int
     instances: tuple[str, ...]
-    at_once: int
+    max_parallel: int
 
 
 class Injector:
-    """Carries out faults against one world."""
+    """Injects faults into one world."""
 
     def __init__(self, world: SoakWorld, callers: Sequence[Caller] = ()) -> None:
         self.world = world
         self.callers = callers
-        self.spans: list[Span] = []
+        self.periods: list[FaultPeriod] = []
         self.waves: list[WaveOrder] = []
 
-    def calm_since(self, now: float) -> float:
-        """Return since when no unplanned fault has been in force; infinity if one is."""
-        unplanned = [span for span in self.spans if span.fault.kind not in PLANNED]
-        if any(span.began <= now < span.ended for span in unplanned):
+    def fault_free_since(self, now: float) -> float:
+        """Return the time since which no unplanned fault has been in force; infinity if one is."""
+        unplanned = [period for period in self.periods if period.fault.kind not in PLANNED_KINDS]
+        if any(period.started_at <= now < period.ended_at for period in unplanned):
             return float("inf")
-        return max((span.ended for span in unplanned if span.ended <= now), default=0.0)
+        return max((period.ended_at for period in unplanned if period.ended_at <= now), default=0.0)
 
     async def run(self, faults: Iterable[Fault], began: float) -> None:
-        """Carry out all faults at their times; they may overlap."""
+        """Inject all faults at their times; they may overlap."""
         async with asyncio.TaskGroup() as tasks:
             for fault in faults:
-                tasks.create_task(self._at_its_time(fault, began))
+                tasks.create_task(self._apply_at_its_time(fault, began))
 
-    async def _at_its_time(self, fault: Fault, began: float) -> None:
+    async def _apply_at_its_time(self, fault: Fault, began: float) -> None:
         await asyncio.sleep(max(0.0, began + fault.at_s - monotonic()))
-        span = Span(fault, monotonic())
-        self.spans.append(span)
-        await self._carry_out(fault)
-        span.ended = monotonic()
+        period = FaultPeriod(fault, monotonic())
+        self.periods.append(period)
+        await self._apply_fault(fault)
+        period.ended_at = monotonic()
 
-    async def _carry_out(self, fault: Fault) -> None:
+    async def _apply_fault(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.KILL_NODE | FaultKind.STOP_NODE | FaultKind.KILL_ALL_NODES:
-                await self._end_nodes(fault)
+                await self._stop_and_restart_nodes(fault)
             case FaultKind.PAUSE_NODE | FaultKind.SUSPEND_NODE | FaultKind.RELOAD_NODE:
                 await self._signal_node(fault)
             case FaultKind.CONFIGURE | FaultKind.WAVE:
-                self._operate(fault)
+                self._perform_operator_action(fault)
             case FaultKind.ROTATE_KEY | FaultKind.TAKE_KEY | FaultKind.LIMIT_FALLS:
                 await self._change_account(fault)
             case FaultKind.HOT_ACCOUNT if self.callers:
-                await self.callers[fault.target % len(self.callers)].rush(_account(fault))
-            case kind if kind in LEAVING_KINDS:
-                await let_leave(self.world, fault)
-            case kind if kind in UNHEARD_KINDS:
-                await keep_unheard(self.world, fault)
+                await self.callers[fault.target % len(self.callers)].submit_burst(
+                    _account_name(fault)
+                )
+            case kind if kind in DEPARTURE_KINDS:
+                await make_workers_leave(self.world, fault)
+            case kind if kind in WORKER_RECORD_KINDS:
+                await block_worker_records(self.world, fault)
             case kind if kind in RESTART_KINDS:
                 await restart_workers(self.world, fault)
             case FaultKind.FOREIGN_ENTRIES:
                 await self._write_foreign_entries(fault)
             case FaultKind.CRASHING_JOB if self.callers:
-                await self.callers[fault.target % len(self.callers)].crash_workers()
+                await self.callers[fault.target % len(self.callers)].submit_crashing_job()
             case FaultKind.CONFIGURE_OFTEN:
-                for _ in range(1 + int(fault.for_s / OFTEN_S)):
-                    self.world.reconfigure(ROUTES_MORE)
-                    await asyncio.sleep(OFTEN_S)
+                for _ in range(1 + int(fault.for_s / CONFIGURE_INTERVAL_S)):
+                    self.world.reconfigure(EXTRA_ROUTES)
+                    await asyncio.sleep(CONFIGURE_INTERVAL_S)
             case (
                 FaultKind.STORE_LINK_SILENT
                 | FaultKind.STORE_LINK_NO_ANSWERS
@@ -152,15 +159,15 @@
                 | FaultKind.STORE_LINK_RESET
                 | FaultKind.STORE_LINK_THIN
             ):
-                await self._disturb([self._links(fault).store], fault)
+                await self._disrupt_links([self._target_links(fault).store], fault)
             case (
                 FaultKind.WORKER_LINKS_SILENT
                 | FaultKind.WORKER_LINKS_NO_ANSWERS
                 | FaultKind.WORKER_LINKS_RESET
             ):
-                await self._disturb(list(self._links(fault).workers.values()), fault)
+                await self._disrupt_links(list(self._target_links(fault).workers.values()), fault)
             case FaultKind.CALLER_LINK_RESET:
-                await self._disturb([self._links(fault).callers], fault)
+                await self._disrupt_links([self._target_links(fault).callers], fault)
             case (
                 FaultKind.STORE_SILENT
                 | FaultKind.STORE_REFUSES
@@ -169,21 +176,21 @@
                 | FaultKind.STORE_WRITES_LATE
                 | FaultKind.STORE_FORGETS
             ):
-                await self._disturb_store(fault)
+                await self._disrupt_store(fault)
             case _:
-                await self._disturb_worker(fault)
+                await self._disrupt_worker(fault)
 
-    def _name(self, fault: Fault) -> str:
+    def _target_node(self, fault: Fault) -> str:
         names = sorted(self.world.links)
         return names[fault.target % len(names)]
 
-    def _links(self, fault: Fault) -> NodeLinks:
-        return self.world.links[self._name(fault)]
+    def _target_links(self, fault: Fault) -> NodeLinks:
+        return self.world.links[self._target_node(fault)]
 
-    async def _end_nodes(self, fault: Fault) -> None:
-        """End one node or all, and start each again after a while."""
-        everyone = fault.kind is FaultKind.KILL_ALL_NODES
-        names = sorted(self.world.links) if everyone else [self._name(fault)]
+    async def _stop_and_restart_nodes(self, fault: Fault) -> None:
+        """End one node or all nodes, and restart them after the fault's duration."""
+        all_nodes = fault.kind is FaultKind.KILL_ALL_NODES
+        names = sorted(self.world.links) if all_nodes else [self._target_node(fault)]
         nodes = [self.world.nodes.nodes[name] for name in names]
         ending = [node for node in nodes if node.process.pid not in self.world.expected_ends]
         for node in ending:
@@ -191,64 +198,64 @@
             stop = fault.kind is FaultKind.STOP_NODE
             node.send_signal(signal.SIGTERM if stop else signal.SIGKILL)
         for node in ending:
-            await asyncio.to_thread(node.process.wait, END_S)
+            await asyncio.to_thread(node.process.wait, NODE_END_TIMEOUT_S)
         await asyncio.sleep(fault.for_s)
         for node in ending:
             self.world.start_node(node.name)
 
     async def _signal_node(self, fault: Fault) -> None:
-        node = self.world.nodes.nodes[self._name(fault)]
+        node = self.world.nodes.nodes[self._target_node(fault)]
         if fault.kind is FaultKind.RELOAD_NODE:
             self._change_settings(node)
-            self._send(node, signal.SIGHUP)
+            self._send_signal(node, signal.SIGHUP)
             return
         if fault.kind is FaultKind.SUSPEND_NODE and node.process.poll() is None:
             node.suspend()
         else:
-            self._send(node, signal.SIGSTOP)
+            self._send_signal(node, signal.SIGSTOP)
         await asyncio.sleep(fault.for_s)
-        self._send(node, signal.SIGCONT)
+        self._send_signal(node, signal.SIGCONT)
 
     async def _change_account(self, fault: Fault) -> None:
-        """Rotate a key, take one away, or lower a limit for a while."""
-        book, account = self.world.book, _account(fault)
+        """Rotate a key, revoke one, or lower a limit for the fault's duration."""
+        account_history, account = self.world.account_history, _account_name(fault)
         match fault.kind:
             case FaultKind.ROTATE_KEY:
-                book.add_key(account)
+                account_history.add_key(account)
                 self.world.reconfigure()
                 await asyncio.sleep(fault.for_s)
-                book.drop_oldest_key(account)
+                account_history.revoke_oldest_key(account)
             case FaultKind.TAKE_KEY:
-                book.add_key(account)
-                book.drop_oldest_key(account)
+                account_history.add_key(account)
+                account_history.revoke_oldest_key(account)
             case _:
-                book.set_limit(account, LOW_LIMIT)
+                account_history.set_limit(account, LOW_LIMIT_CPU_MILLIS)
                 self.world.reconfigure()
                 await asyncio.sleep(fault.for_s)
-                book.set_limit(account, USUAL_LIMIT)
+                account_history.set_limit(account, NORMAL_LIMIT_CPU_MILLIS)
         self.world.reconfigure()
 
     async def _write_foreign_entries(self, fault: Fault) -> None:
-        rows = [("servers", "", f"{FOREIGN}{n}") for n in range(len(FOREIGN_ENTRIES))]
+        rows = [("servers", "", f"{FOREIGN_PREFIX}{n}") for n in range(len(FOREIGN_ENTRIES))]
         for row, entry in zip(rows, FOREIGN_ENTRIES, strict=True):
             self.world.store.put(row, entry)
         await asyncio.sleep(fault.for_s)
         for row in rows:
             self.world.store.remove(row)
 
-    def _send(self, node: Node, number: signal.Signals) -> None:
+    def _send_signal(self, node: Node, number: signal.Signals) -> None:
         if node.process.poll() is None:
             node.send_signal(number)
 
     def _change_settings(self, node: Node) -> None:
-        """Replace the settings file at once, so that no half of it is ever read."""
+        """Replace the settings file atomically, so that no partial file is ever read."""
         path = node.settings
-        fresh = path.with_suffix(".new")
-        fresh.write_text(path.read_text().replace("watch_s = 0.2", "watch_s = 0.25"))
-        os.replace(fresh, path)
+        new_path = path.with_suffix(".new")
+        new_path.write_text(path.read_text().replace("watch_s = 0.2", "watch_s = 0.25"))
+        os.replace(new_path, path)
 
-    def _operate(self, fault: Fault) -> None:
-        """Do what an operator does: configure, or ask for maintenance."""
+    def _perform_operator_action(self, fault: Fault) -> None:
+        """Write a configuration or order a maintenance wave, as an operator does."""
         if fault.kind is FaultKind.CONFIGURE:
             self.world.reconfigure()
             return
@@ -259,35 +266,35 @@
             "wave": wave.number,
             "machines": wave.instances,
             "durationS": 20,
-            "upperLimit": wave.at_once,
+            "upperLimit": wave.max_parallel,
         }
         self.world.store.put(("op", "", f"wave/{wave.number}"), json.dumps(content).encode())
 
-    async def _disturb(self, links: list[Link], fault: Fault) -> None:
+    async def _disrupt_links(self, links: list[Link], fault: Fault) -> None:
         match fault.kind:
             case FaultKind.STORE_LINK_SILENT | FaultKind.WORKER_LINKS_SILENT:
-                await self._hold(links, Passage.NOTHING, fault.for_s)
+                await self._restrict_links(links, Passage.NOTHING, fault.for_s)
             case FaultKind.STORE_LINK_NO_ANSWERS | FaultKind.WORKER_LINKS_NO_ANSWERS:
-                await self._hold(links, Passage.REQUESTS_ONLY, fault.for_s)
+                await self._restrict_links(links, Passage.REQUESTS_ONLY, fault.for_s)
             case FaultKind.STORE_LINK_SLOW:
-                links[0].delay_s = SLOW_S * fault.strength
+                links[0].delay_s = MAX_ADDED_DELAY_S * fault.strength
                 await asyncio.sleep(fault.for_s)
                 links[0].delay_s = 0.0
             case FaultKind.STORE_LINK_THIN:
-                # It stays as it is: a process may sit behind such a link for all of its life.
+                # The link stays thin: a process may have such a link for its whole lifetime.
                 links[0].bytes_per_s = THIN_BYTES_PER_S
             case _:
                 for link in links:
                     link.reset()
 
-    async def _hold(self, links: list[Link], passage: Passage, for_s: float) -> None:
+    async def _restrict_links(self, links: list[Link], passage: Passage, for_s: float) -> None:
         for link in links:
             link.let_pass(passage)
         await asyncio.sleep(for_s)
         for link in links:
             link.let_pass(Passage.BOTH_WAYS)
 
-    async def _disturb_store(self, fault: Fault) -> None:
+    async def _disrupt_store(self, fault: Fault) -> None:
         faults = self.world.store.faults
         match fault.kind:
             case FaultKind.STORE_SILENT:
@@ -295,11 +302,11 @@
             case FaultKind.STORE_REFUSES:
                 faults.refuse_with = 503
             case FaultKind.STORE_SLOW:
-                faults.slow_s = SLOW_S * fault.strength
+                faults.slow_s = MAX_ADDED_DELAY_S * fault.strength
             case FaultKind.STORE_LOSES_ANSWERS:
                 faults.lose_share = fault.strength / 2
             case FaultKind.STORE_WRITES_LATE:
-                faults.late_share, faults.late_s = fault.strength / 2, LATE_S
+                faults.late_share, faults.late_s = fault.strength / 2, MAX_LATE_S
             case _:
                 self.world.store.forget_history()
                 return
@@ -307,7 +314,7 @@
         faults.silent, faults.refuse_with, faults.slow_s = False, 0, 0.0
         faults.lose_share, faults.late_share = 0.0, 0.0
 
-    async def _disturb_worker(self, fault: Fault) -> None:
+    async def _disrupt_worker(self, fault: Fault) -> None:
         workers = self.world.serving_workers()
         if not workers:
             return
@@ -316,24 +323,24 @@
             case FaultKind.WORKER_CRASH:
                 await self.world.replace_worker(worker, fault.for_s)
             case FaultKind.WORKER_SHRINKS:
-                await self._while(fault, lambda on: self._resize(worker, on))
+                await self._toggle_for(fault, lambda on: self._resize(worker, on))
             case FaultKind.WORKER_CLOCK_SLOW:
-                worker.slow_clock(SLOW_CLOCK)
+                worker.slow_clock(SLOW_CLOCK_RATIO)
             case FaultKind.WORKER_SILENT:
-                await self._while(fault, lambda on: setattr(worker.faults, "silent", on))
+                await self._toggle_for(fault, lambda on: setattr(worker.faults, "silent", on))
             case FaultKind.WORKER_STARTS_LATE:
-                late_s = LATE_S * fault.strength
-                await self._while(
+                late_s = MAX_LATE_S * fault.strength
+                await self._toggle_for(
                     fault, lambda on: setattr(worker.faults, "late_starts_s", late_s if on else 0.0)
                 )
             case _:
-                await self._while(fault, lambda on: setattr(worker.faults, "fail_all", on))
+                await self._toggle_for(fault, lambda on: setattr(worker.faults, "fail_all", on))
 
     def _resize(self, worker: HostedWorker, shrunk: bool) -> None:
         if self.world.workers.get(worker.instance) is worker:
-            self.world.resize_worker(worker.instance, SHRUNK_CPU if shrunk else WORKER_CPU)
+            self.world.resize_worker(worker.instance, SHRUNK_CPU_MILLIS if shrunk else WORKER_CPU)
 
-    async def _while(self, fault: Fault, switch: Callable[[bool], None]) -> None:
+    async def _toggle_for(self, fault: Fault, switch: Callable[[bool], None]) -> None:
         switch(True)
         await asyncio.sleep(fault.for_s)
         switch(False)
--- a/soak/_leaving.py
+++ b/soak/_leaving.py
@@ -1,4 +1,4 @@
-"""Workers that say they leave, and a store that tells of them late."""
+"""Faults in which workers announce that they leave, or the store withholds worker records."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from soak._world import SoakWorld
     from standins.hosted import HostedWorker
 
-LEAVING_KINDS = frozenset(
+DEPARTURE_KINDS = frozenset(
     {
         FaultKind.WORKER_DRAINS,
         FaultKind.WORKER_LEAVES_AT_ONCE,
@@ -22,20 +22,22 @@
     }
 )
 
-UNHEARD_KINDS = frozenset({FaultKind.LIST_UNREAD, FaultKind.LIST_UNTOLD, FaultKind.COMMITS_REFUSED})
+WORKER_RECORD_KINDS = frozenset(
+    {FaultKind.LIST_UNREAD, FaultKind.LIST_UNTOLD, FaultKind.COMMITS_REFUSED}
+)
 
-AT_ONCE_S = 0.15
-"""Time between a short notice and the worker's end."""
+SHORT_NOTICE_S = 0.15
+"""Time between a worker's announcement at short notice and its end."""
 
-RELEASE_GAP_S = 0.3
-"""Time between two workers that are replaced one after the other."""
+RELEASE_INTERVAL_S = 0.3
+"""Interval at which workers are replaced one after the other."""
 
-NAMES_WORKERS = "w-"
-"""What a transaction holds that records where tasks run."""
+WORKER_ID_PREFIX = "w-"
+"""Prefix of worker ids; transactions that record where tasks run contain it."""
 
 
-async def let_leave(world: SoakWorld, fault: Fault) -> None:
-    """Let workers say that they leave, serve on and leave; others follow on their instances."""
+async def make_workers_leave(world: SoakWorld, fault: Fault) -> None:
+    """Make workers announce that they leave, serve on and end; other workers replace them."""
     workers = world.serving_workers()
     if not workers:
         return
@@ -43,21 +45,23 @@
     match fault.kind:
         case FaultKind.WORKERS_SCALED_IN:
             chosen = (workers[first:] + workers[:first])[: (len(workers) + 1) // 2]
-            await asyncio.gather(*(_leave(world, worker, fault.for_s) for worker in chosen))
+            await asyncio.gather(
+                *(_drain_and_replace(world, worker, fault.for_s) for worker in chosen)
+            )
         case FaultKind.WORKERS_RELEASED:
             async with asyncio.TaskGroup() as tasks:
                 for worker in workers:
-                    tasks.create_task(_leave(world, worker, fault.for_s))
-                    await asyncio.sleep(RELEASE_GAP_S)
+                    tasks.create_task(_drain_and_replace(world, worker, fault.for_s))
+                    await asyncio.sleep(RELEASE_INTERVAL_S)
         case FaultKind.WORKER_LEAVES_AT_ONCE:
-            await _leave(world, workers[first], AT_ONCE_S)
+            await _drain_and_replace(world, workers[first], SHORT_NOTICE_S)
         case FaultKind.ADDRESS_REUSED:
-            await _leave(world, workers[first], fault.for_s, next_pool="second")
+            await _drain_and_replace(world, workers[first], fault.for_s, next_pool="second")
         case _:
-            await _leave(world, workers[first], fault.for_s)
+            await _drain_and_replace(world, workers[first], fault.for_s)
 
 
-async def _leave(
+async def _drain_and_replace(
     world: SoakWorld, worker: HostedWorker, for_s: float, next_pool: str | None = None
 ) -> None:
     name = worker.instance
@@ -68,13 +72,13 @@
     await world.replace_worker(worker, for_s / 2, next_pool)
 
 
-async def keep_unheard(world: SoakWorld, fault: Fault) -> None:
-    """Let the store tell nobody of workers, or refuse what records where tasks run."""
+async def block_worker_records(world: SoakWorld, fault: Fault) -> None:
+    """Make the store withhold the list of workers, or refuse records of where tasks run."""
     faults = world.store.faults
     where, what = {
         FaultKind.LIST_UNREAD: (faults.refused_tables, "servers"),
         FaultKind.LIST_UNTOLD: (faults.deaf_tables, "servers"),
-        FaultKind.COMMITS_REFUSED: (faults.refused_callers, NAMES_WORKERS),
+        FaultKind.COMMITS_REFUSED: (faults.refused_callers, WORKER_ID_PREFIX),
     }[fault.kind]
     where.add(what)
     await asyncio.sleep(fault.for_s)
--- a/soak/_plan.py
+++ b/soak/_plan.py
@@ -1,4 +1,4 @@
-"""What a soak run does: its deployment and its faults, drawn from a seed."""
+"""Plan of a soak run: its deployment and its faults, drawn at random from a seed."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-FIRST_FAULT_S = 1.0
-"""Callers work undisturbed for so long, so that there is something to disturb."""
+FIRST_FAULT_DELAY_S = 1.0
+"""Time without faults at the start, in which callers submit the first jobs."""
 
 MIN_FAULT_S = 0.2
 MAX_FAULT_S = 3.0
-"""Longest time of one fault: twice the lease of a worker in a soak."""
+"""More than twice a worker's lease in the soak."""
 
 MAX_SERIES = 4
-"""Series of faults in one run; they overlap."""
+"""Series of faults in one run; the series overlap."""
 
-MAX_REPEATS = 4
+MAX_FAULTS_PER_SERIES = 4
 """Faults of one series."""
 
 
 class FaultKind(Enum):
-    """What is done from outside."""
+    """A fault or an operation that is injected; the values are stored in plans."""
 
     KILL_NODE = "kill node"
     KILL_ALL_NODES = "kill all nodes"
     PAUSE_NODE = "pause node"
     SUSPEND_NODE = "suspend node"
-    """A pause that its steady clock leaves out."""
+    """A pause during which the process's monotonic clock stands still."""
     STOP_NODE = "stop node"
-    """SIGTERM; the node is started again after its end."""
+    """SIGTERM; the node is started again after it has ended."""
     RELOAD_NODE = "reload node"
-    """SIGHUP, with settings that changed."""
+    """SIGHUP after a change of the settings file."""
     STORE_SILENT = "store silent"
     STORE_REFUSES = "store refuses"
     STORE_SLOW = "store slow"
@@ -87,49 +87,49 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """How much of everything takes part."""
+    """Number of processes, workers and callers in a run."""
 
     nodes: int = 3
     workers: int = 6
     spares: int = 2
-    """Instances that begin in the spare pool."""
+    """Instances that are in the spare pool at the start."""
     callers: int = 4
     submissions_per_s: float = 4.0
-    """Of all callers together."""
+    """Rate over all callers together."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault; `target` is taken modulo what there is of its kind."""
+    """One fault; `target` is an index modulo the number of possible targets."""
 
     kind: FaultKind
     at_s: float
-    """Time after the callers begin."""
+    """Time since the callers started."""
     for_s: float
     target: int
     strength: float
-    """Share of writes, or delay in tenths of a second, from 0 to 1."""
+    """Severity from 0 to 1; scales the affected share of writes or the length of a delay."""
 
 
 @dataclass(frozen=True)
 class Plan:
-    """One run, which can be played again."""
+    """Everything that defines a run, so that it can be repeated."""
 
     seed: int
     deployment: Deployment
     length_s: float
-    """Time in which callers submit."""
+    """Time during which callers act."""
     faults: tuple[Fault, ...]
 
     def without(self, fault: Fault) -> Plan:
-        """Return the same plan with one fault less."""
+        """Return a copy of the plan without one fault."""
         return replace(self, faults=tuple(f for f in self.faults if f is not fault))
 
 
 def draw_plan(
     seed: int, length_s: float, deployment: Deployment, kinds: Sequence[FaultKind] = ()
 ) -> Plan:
-    """Draw series of faults that overlap: one of each kind named, or some of any kind."""
+    """Draw overlapping series of faults: one per given kind, or several of random kinds."""
     source = random.Random(seed)
     faults: list[Fault] = []
     for kind in kinds:
@@ -143,10 +143,10 @@
 
 def _draw_series(source: random.Random, length_s: float, kinds: Sequence[FaultKind]) -> list[Fault]:
     kind = source.choice(kinds)
-    at_s = source.uniform(FIRST_FAULT_S, length_s)
+    at_s = source.uniform(FIRST_FAULT_DELAY_S, length_s)
     target = source.randrange(1000)
     series = []
-    for _ in range(source.randint(1, MAX_REPEATS)):
+    for _ in range(source.randint(1, MAX_FAULTS_PER_SERIES)):
         for_s = source.uniform(MIN_FAULT_S, MAX_FAULT_S)
         series.append(Fault(kind, round(at_s, 3), round(for_s, 3), target, source.random()))
         at_s += source.uniform(0.5, 2.0) * for_s
@@ -155,10 +155,10 @@
 
 
 def save_plan(plan: Plan, path: Path) -> None:
-    """Write a plan as JSON."""
+    """Write a plan to a file as JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(plan)))
 
 
 def load_plan(path: Path) -> Plan:
-    """Read a plan that was written by `save_plan`."""
+    """Read a plan written by `save_plan`."""
     return msgspec.json.decode(path.read_bytes(), type=Plan)
--- a/soak/_restarts.py
+++ b/soak/_restarts.py
@@ -1,4 +1,4 @@
-"""Workers that start again under their name, by themselves and together with other faults."""
+"""Faults in which workers restart under their ids, alone or combined with other faults."""
 
 from __future__ import annotations
 
@@ -27,36 +27,35 @@
     }
 )
 
-MOST_DOWN_S = 0.8
-"""Longest time between a worker's crash and its next life; a restart of a program."""
+MAX_DOWN_S = 0.8
+"""Max time between a worker's crash and its next incarnation; enough to restart a program."""
 
-MOST_LATE_S = 0.6
-"""Most by which the entry of a next life comes late or early."""
+MAX_ENTRY_SHIFT_S = 0.6
+"""Max time by which the entry of the next incarnation is published late or early."""
 
-
-ON_THEIR_WAY_S = 0.25
-"""Time before a crash from which on starts get no answer; shorter than a node waits for one."""
+STARTS_IN_FLIGHT_S = 0.25
+"""Time before a crash during which starts get no response; shorter than a node's timeout."""
 
 
 async def restart_workers(world: SoakWorld, fault: Fault) -> None:
-    """Let one worker or a whole rack start again, while whatever else the fault names happens."""
-    names = _chosen(world, fault)
+    """Restart one worker or all of a rack, together with the other disruption of the fault."""
+    names = _target_instances(world, fault)
     match fault.kind:
         case FaultKind.RESTART_BEHIND_CUT:
-            await _behind_cut(world, fault, names)
+            await _restart_behind_partition(world, fault, names)
         case FaultKind.RESTART_UNDER_ORDERS:
-            await _under_orders(world, fault, names)
+            await _restart_with_starts_in_flight(world, fault, names)
         case FaultKind.RESTART_AT_TAKEOVER:
             owners = [name for name in world.links if name == world.owner()]
-            await _without_nodes(world, fault, names, owners)
+            await _restart_while_nodes_down(world, fault, names, owners)
         case FaultKind.RESTART_WITH_ALL_NODES:
-            await _without_nodes(world, fault, names, list(world.links))
+            await _restart_while_nodes_down(world, fault, names, list(world.links))
         case _:
             await _restart(world, fault, names)
 
 
-def _chosen(world: SoakWorld, fault: Fault) -> list[str]:
-    """Return the instances whose workers start again."""
+def _target_instances(world: SoakWorld, fault: Fault) -> list[str]:
+    """Return the instances whose workers restart."""
     workers = world.serving_workers()
     if not workers:
         return []
@@ -67,25 +66,25 @@
 
 
 async def _restart(world: SoakWorld, fault: Fault, names: Iterable[str]) -> None:
-    """Start workers again, each with its entry earlier or later than the one before."""
-    late_s = MOST_LATE_S * (2 * fault.strength - 1)
+    """Restart workers, publishing their new entries early and late in turn."""
+    late_s = MAX_ENTRY_SHIFT_S * (2 * fault.strength - 1)
     async with asyncio.TaskGroup() as tasks:
         for name in names:
-            down_s = min(fault.for_s, MOST_DOWN_S) * fault.strength
+            down_s = min(fault.for_s, MAX_DOWN_S) * fault.strength
             tasks.create_task(world.restart_worker(name, down_s, late_s))
             late_s = -late_s
 
 
-async def _under_orders(world: SoakWorld, fault: Fault, names: list[str]) -> None:
-    """Start workers again whose next lives do the starts that were on their way."""
+async def _restart_with_starts_in_flight(world: SoakWorld, fault: Fault, names: list[str]) -> None:
+    """Restart workers so that their next incarnations carry out the starts still in flight."""
     for name in names:
-        world.workers[name].faults.late_starts_s = 2 * ON_THEIR_WAY_S + MOST_DOWN_S
-    await asyncio.sleep(ON_THEIR_WAY_S)
+        world.workers[name].faults.late_starts_s = 2 * STARTS_IN_FLIGHT_S + MAX_DOWN_S
+    await asyncio.sleep(STARTS_IN_FLIGHT_S)
     await _restart(world, fault, names)
 
 
-async def _behind_cut(world: SoakWorld, fault: Fault, names: list[str]) -> None:
-    """Start workers again that no node reaches, though they reach the store."""
+async def _restart_behind_partition(world: SoakWorld, fault: Fault, names: list[str]) -> None:
+    """Restart workers that no node can reach although they reach the store."""
     addresses = [world.workers[name].address for name in names if name in world.workers]
     links = [ls.workers[a] for ls in world.links.values() for a in addresses if a in ls.workers]
     for link in links:
@@ -96,10 +95,10 @@
         link.let_pass(Passage.BOTH_WAYS)
 
 
-async def _without_nodes(
+async def _restart_while_nodes_down(
     world: SoakWorld, fault: Fault, names: list[str], nodes: list[str]
 ) -> None:
-    """Start workers again while some nodes are killed and until they are back."""
+    """Restart workers while some nodes are killed, and restart those nodes."""
     killed = [world.nodes.nodes[name] for name in nodes]
     killed = [node for node in killed if node.process.poll() is None]
     for node in killed:
@@ -107,10 +106,10 @@
         node.send_signal(signal.SIGKILL)
     async with asyncio.TaskGroup() as tasks:
         tasks.create_task(_restart(world, fault, names))
-        tasks.create_task(_start_again(world, killed, fault.for_s))
+        tasks.create_task(_restart_nodes_later(world, killed, fault.for_s))
 
 
-async def _start_again(world: SoakWorld, killed: list[Node], after_s: float) -> None:
+async def _restart_nodes_later(world: SoakWorld, killed: list[Node], after_s: float) -> None:
     for node in killed:
         await asyncio.to_thread(node.process.wait)
     await asyncio.sleep(after_s)
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""Play one plan and judge it."""
+"""Run one plan and check the promises."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pumicespur.utils import monotonic
 from soak._callers import Caller, JobKind
-from soak._checker import CONFIGURED_S, Checker, Finding
+from soak._checker import CONFIGURE_TIMEOUT_S, Checker, Finding
 from soak._faults import Injector
 from soak._plan import save_plan
 from soak._world import INSTANCES_PER_RACK, SoakWorld
@@ -20,18 +20,18 @@
 
     from soak._plan import Plan
 
-CHECK_S = 1.0
-"""Pause between judgements while a plan plays."""
+CHECK_INTERVAL_S = 1.0
+"""Interval between checks while a plan runs."""
 
-SETTLE_S = 20.0
-"""Longest time after the last fault until everything has to be in order: some takeovers."""
+SETTLE_TIMEOUT_S = 20.0
+"""Time after the last fault by which everything must be in order; enough for some takeovers."""
 
-ENDED = ("completed", "failed", "cancelled")
+FINAL_STATES = ("completed", "failed", "cancelled")
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a run showed."""
+    """Result of a run."""
 
     plan: Plan
     findings: list[Finding]
@@ -41,22 +41,28 @@
     took_s: float
 
 
-async def play(plan: Plan, keep: Path, node_module: str = SUSPENDABLE_MODULE) -> Outcome:
-    """Play a plan; if a promise broke, keep the plan and all logs in a folder below `keep`."""
+async def run_plan(
+    plan: Plan, artifacts_dir: Path, node_module: str = SUSPENDABLE_MODULE
+) -> Outcome:
+    """Run a plan and return its result.
+
+    If a promise is broken, the plan, the findings, all runs and the nodes' logs are saved in a
+    folder below `artifacts_dir`.
+    """
     started = monotonic()
     world = SoakWorld(node_module)
     await world.open()
     callers: list[Caller] = []
     try:
-        await _set_up(plan, world)
+        await _start_deployment(plan, world)
         callers += [Caller(n, plan, world) for n in range(plan.deployment.callers)]
         injector = Injector(world, callers)
         checker = Checker(world, callers, injector)
-        await _disturb(plan, callers, injector, checker)
-        await _settle(callers, checker)
+        await _run_under_faults(plan, callers, injector, checker)
+        await _wait_until_settled(callers, checker)
         findings = sorted(checker.findings, key=lambda finding: finding.promise)
         if findings:
-            _keep(plan, world, findings, keep)
+            _save_artifacts(plan, world, findings, artifacts_dir)
     finally:
         for caller in callers:
             await caller.close()
@@ -67,7 +73,7 @@
     return Outcome(plan, findings, len(jobs), accepted, len(world.history), took_s)
 
 
-async def _set_up(plan: Plan, world: SoakWorld) -> None:
+async def _start_deployment(plan: Plan, world: SoakWorld) -> None:
     size = plan.deployment.workers
     for number in range(size):
         await world.add_worker(f"m-{number:02}", f"r1-{number // INSTANCES_PER_RACK}")
@@ -77,49 +83,56 @@
         world.fleet.racks[name] = f"r1-{number // INSTANCES_PER_RACK}"
     for number in range(plan.deployment.nodes):
         await world.add_node(f"node-{number}")
-    for node in list(world.lives):
+    for node in list(world.started_nodes):
         await world.wait_ready(node)
 
 
-async def _disturb(plan: Plan, callers: list[Caller], injector: Injector, checker: Checker) -> None:
+async def _run_under_faults(
+    plan: Plan, callers: list[Caller], injector: Injector, checker: Checker
+) -> None:
     began = monotonic()
     async with asyncio.TaskGroup() as tasks:
-        judge = tasks.create_task(_judge(checker))
-        probe = tasks.create_task(callers[0].probe(CONFIGURED_S))
+        check = tasks.create_task(_check_periodically(checker))
+        route_probe = tasks.create_task(callers[0].probe_added_routes(CONFIGURE_TIMEOUT_S))
         key_probe = tasks.create_task(callers[0].probe_keys())
         work = [tasks.create_task(caller.run(began + plan.length_s)) for caller in callers]
         faults = tasks.create_task(injector.run(plan.faults, began))
         await asyncio.gather(*work, faults)
-        judge.cancel()
-        probe.cancel()
+        check.cancel()
+        route_probe.cancel()
         key_probe.cancel()
 
 
-async def _judge(checker: Checker) -> None:
+async def _check_periodically(checker: Checker) -> None:
     while True:
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
         checker.check()
 
 
-async def _settle(callers: list[Caller], checker: Checker) -> None:
-    """Wait until nothing is left to be done, then judge; what is still open then is a finding."""
-    until = monotonic() + SETTLE_S
+async def _wait_until_settled(callers: list[Caller], checker: Checker) -> None:
+    """Wait until all work is done or the time limit is over; what is still open is a finding."""
+    until = monotonic() + SETTLE_TIMEOUT_S
     while monotonic() < until:
         for caller in callers:
             for job in caller.jobs:
-                ends = job.kind is not JobKind.LASTING and job.exchanges[-1].state not in ENDED
+                ends = (
+                    job.kind is not JobKind.LONG_RUNNING
+                    and job.exchanges[-1].state not in FINAL_STATES
+                )
                 if job.accepted_at is not None and job.cancel_sent_at is None and ends:
-                    await caller.ask(job)
-        trial = Checker(checker.world, callers, checker.injector)
-        trial.check_settled()
-        if not trial.findings:
+                    await caller.query(job)
+        preview = Checker(checker.world, callers, checker.injector)
+        preview.check_settled()
+        if not preview.findings:
             break
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
     checker.check_settled()
 
 
-def _keep(plan: Plan, world: SoakWorld, findings: list[Finding], keep: Path) -> None:
-    folder = keep / f"seed-{plan.seed}"
+def _save_artifacts(
+    plan: Plan, world: SoakWorld, findings: list[Finding], artifacts_dir: Path
+) -> None:
+    folder = artifacts_dir / f"seed-{plan.seed}"
     folder.mkdir(parents=True, exist_ok=True)
     save_plan(plan, folder / "plan.json")
     (folder / "findings.txt").write_text(
--- a/soak/_histories.py
+++ b/soak/_run_history.py
@@ -1,4 +1,4 @@
-"""What the runs of a job's tasks show, as the workers saw them."""
+"""Queries on the history of runs as the workers recorded it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from standins.hosted import Run
 
 
-def by_task(history: Iterable[Run]) -> dict[str, list[Run]]:
+def group_by_task(history: Iterable[Run]) -> dict[str, list[Run]]:
     """Return the runs of each task, oldest first."""
     found: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(history, key=lambda run: run.started_at):
@@ -22,21 +22,21 @@
     return found
 
 
-def is_at_work(run: Run, at: float) -> bool:
-    """Whether a run was at work at a monotonic time."""
+def is_running_at(run: Run, at: float) -> bool:
+    """Return whether a run was in progress at a monotonic time."""
     return run.started_at <= at and (run.ended_at is None or run.ended_at > at)
 
 
-def runs_of(runs: dict[str, list[Run]], job: SentJob, step: int) -> list[Run]:
-    """Return the runs of a step's tasks."""
-    names = [f"{job.id}.0.{step}.{n}" for n in range(job.size_of(step))]
+def runs_of_step(runs: dict[str, list[Run]], job: SentJob, step: int) -> list[Run]:
+    """Return the runs of all tasks of a step."""
+    names = [f"{job.id}.0.{step}.{n}" for n in range(job.task_count(step))]
     return [run for name in names for run in runs.get(name, [])]
 
 
-def done_at(runs: dict[str, list[Run]], job: SentJob, step: int) -> float | None:
-    """Return when the last task of a step was done, None while one is not."""
+def step_completed_at(runs: dict[str, list[Run]], job: SentJob, step: int) -> float | None:
+    """Return the time at which the last task of a step succeeded; None until all have."""
     ends = []
-    for place in range(job.size_of(step)):
+    for place in range(job.task_count(step)):
         done = [r for r in runs.get(f"{job.id}.0.{step}.{place}", []) if r.how == "done"]
         if not done:
             return None
@@ -44,13 +44,13 @@
     return max(ends)
 
 
-def all_done(runs: dict[str, list[Run]], job: SentJob) -> bool:
-    """Whether every task of a job was done."""
-    return all(done_at(runs, job, number) is not None for number in range(len(job.steps)))
+def is_completed(runs: dict[str, list[Run]], job: SentJob) -> bool:
+    """Return whether every task of a job has succeeded."""
+    return all(step_completed_at(runs, job, number) is not None for number in range(len(job.steps)))
 
 
-def has_failed(runs: dict[str, list[Run]], job: SentJob) -> bool:
-    """Whether a task of a job used its attempts."""
+def has_exhausted_attempts(runs: dict[str, list[Run]], job: SentJob) -> bool:
+    """Return whether a task of a job has used all its attempts."""
     return any(
         sum(1 for run in found if run.how == "failed") >= MAX_ATTEMPTS
         for task, found in runs.items()
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -1,6 +1,6 @@
-"""The role `node` with one guard taken out, to prove that the soak would notice.
+"""The role `node` with one safeguard removed, to prove that the soak detects its absence.
 
-Run as `python -m soak.mutant NAME`; the settings come from the environment, as for the real one.
+Run as `python -m soak.mutant NAME`; settings come from the environment, as for the real role.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Mutant(Enum):
-    """What is taken out."""
+    """The safeguard that is removed."""
 
     COMMITS_WITHOUT_CONDITIONS = "commits-without-conditions"
     ENDS_CONFIRMED_UNRECORDED = "ends-confirmed-unrecorded"
@@ -99,8 +99,8 @@
         reading.give_up()
 
 
-def take_out(mutant: Mutant) -> None:
-    """Replace one guard of the product in this process."""
+def apply_mutant(mutant: Mutant) -> None:
+    """Disable one safeguard of the product in this process."""
     match mutant:
         case Mutant.COMMITS_WITHOUT_CONDITIONS:
             _replace(_journal.Journal, "_transaction", _commit_without_conditions)
@@ -150,5 +150,5 @@
 
 
 if __name__ == "__main__":
-    take_out(Mutant(sys.argv[1]))
+    apply_mutant(Mutant(sys.argv[1]))
     sys.exit(node.main())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,10 +10,10 @@
 from typing import cast
 
 from soak._callers import Caller, Exchange, JobKind, SentJob
-from soak._checker import CRASHING_STARTS, ROOM_S, Checker
+from soak._checker import CAPACITY_UPDATE_TIMEOUT_S, MAX_CRASHING_STARTS, Checker
 from soak._faults import Injector
 from soak._plan import Deployment, Plan, draw_plan, load_plan, save_plan
-from soak._run import play
+from soak._run import run_plan
 from soak._world import SoakWorld
 from standins.hosted import NODE_MODULE, WORKER_CPU, Link, Passage, Run
 from tests.base import quiet_loop
@@ -106,7 +106,8 @@
             self.world.rooms[f"w-{number}"] = [(0.0, WORKER_CPU)]
         self.see("POST", 200)
         caller = cast(
-            "Caller", type("OneJob", (), {"jobs": [self.job], "probes": [], "key_probes": []})()
+            "Caller",
+            type("OneJob", (), {"jobs": [self.job], "route_probes": [], "key_probes": []})(),
         )
         self.checker = Checker(self.world, [caller], Injector(self.world))
 
@@ -160,15 +161,25 @@
     def test_start_on_a_worker_whose_room_has_shrunk(self) -> None:
         self.world.rooms["w-1"] = [(0.0, 4000), (10.0, 500)]
         self.ran(1, 9.0, 20.0, "done")
-        beside = Run(f"{JOB}.0.0.1", 1, "w-1", "short", "", 1, 10.0 + ROOM_S / 2, 20.0, "done")
+        beside = Run(
+            f"{JOB}.0.0.1",
+            1,
+            "w-1",
+            "short",
+            "",
+            1,
+            10.0 + CAPACITY_UPDATE_TIMEOUT_S / 2,
+            20.0,
+            "done",
+        )
         self.world.history.append(beside)
         self.assertNotIn("no start brings a worker over its room", self.found())
-        beside.started_at = 10.0 + 2 * ROOM_S
+        beside.started_at = 10.0 + 2 * CAPACITY_UPDATE_TIMEOUT_S
         self.assertIn("no start brings a worker over its room", self.found())
 
     def test_crashing_task_that_is_started_on_and_on(self) -> None:
         self.job.kind = JobKind.CRASHING
-        for number in range(CRASHING_STARTS):
+        for number in range(MAX_CRASHING_STARTS):
             self.ran(number, float(number), number + 0.1, "gone")
         self.assertNotIn("a task that brings workers down is given up", self.found())
         self.ran(99, 99.0, 99.1, "gone")
@@ -188,7 +199,7 @@
 
     async def hold(self, plans: list[Plan]) -> None:
         with tempfile.TemporaryDirectory() as keep:
-            outcomes = await asyncio.gather(*(play(plan, Path(keep)) for plan in plans))
+            outcomes = await asyncio.gather(*(run_plan(plan, Path(keep)) for plan in plans))
         for outcome in outcomes:
             self.assertEqual([], outcome.findings, f"seed {outcome.plan.seed}")
             self.assertGreater(outcome.runs, 0)
