--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -211,14 +211,14 @@
 
     async def query(self, job: SentJob) -> Exchange:
         """Query the state of a job."""
-        seen = await self._send("GET", job.path, None, key=self._api_key(job.account))
-        job.exchanges.append(seen)
-        return seen
+        exchange = await self._send("GET", job.path, None, key=self._api_key(job.account))
+        job.exchanges.append(exchange)
+        return exchange
 
     async def cancel(self, job: SentJob) -> None:
         """Cancel a job, which may be unknown to the node."""
-        seen = await self._send("DELETE", job.path, None, key=self._api_key(job.account))
-        job.exchanges.append(seen)
+        exchange = await self._send("DELETE", job.path, None, key=self._api_key(job.account))
+        job.exchanges.append(exchange)
 
     def _api_key(self, account: str) -> str:
         return self.world.account_history.current_key(account) if account else ""
@@ -235,8 +235,8 @@
             key = self.account_random.choice([*(validity.key for validity in keys), "key-unknown"])
             path = f"/{KEYED_ROUTE}/{self.account_random.getrandbits(64):016x}"
             node = self.account_random.choice(self.node_names)
-            seen = await self._send("GET", path, None, node, key)
-            self.key_probes.append(KeyProbe(key, seen))
+            exchange = await self._send("GET", path, None, node, key)
+            self.key_probes.append(KeyProbe(key, exchange))
             await asyncio.sleep(PROBE_INTERVAL_S / 2)
 
     async def _submit(
@@ -250,9 +250,9 @@
         self.jobs.append(job)
         body = {"taskSpec": kind.value, "steps": steps}
         for _ in range(MAX_SUBMIT_ATTEMPTS):
-            seen = await self._send("POST", job.path, body, key=self._api_key(account))
-            job.exchanges.append(seen)
-            if seen.status not in RETRYABLE_STATUSES:
+            exchange = await self._send("POST", job.path, body, key=self._api_key(account))
+            job.exchanges.append(exchange)
+            if exchange.status not in RETRYABLE_STATUSES:
                 return
             self.preferred_index += 1
             await asyncio.sleep(self.random.uniform(0.05, 0.3))
--- a/soak/_checker.py
+++ b/soak/_checker.py
@@ -118,36 +118,36 @@
             self.findings.update(check)
 
     def _check_single_runs(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
-        for task, found in runs.items():
+        for task, task_runs in runs.items():
             speculative = self._is_speculative(task)
-            for before, after in zip(found, found[1:], strict=False):
+            for before, after in zip(task_runs, task_runs[1:], strict=False):
                 ended_at = before.ended_at if before.ended_at is not None else float("inf")
                 if after.started_at < ended_at and not speculative:
                     yield Finding("no task runs twice at once", f"{task} {before} {after}")
-            done = next((r for r in found if r.how == "done" and r.acknowledged_at), None)
+            done = next((r for r in task_runs if r.how == "done" and r.acknowledged_at), None)
             if done is None or done.acknowledged_at is None:
                 continue
             final_at = (
                 done.acknowledged_at + SPECULATION_TIMEOUT_S if speculative else done.started_at
             )
-            if found[-1].started_at > final_at:
-                yield Finding("a task that is done does not run again", f"{task} {found[-1]}")
+            if task_runs[-1].started_at > final_at:
+                yield Finding("a task that is done does not run again", f"{task} {task_runs[-1]}")
 
     def _is_speculative(self, task: str) -> bool:
         job = self.jobs.get(task.partition(".")[0])
         return job is not None and bool(job.steps[int(task.split(".")[2])].get("speculative"))
 
     def _check_attempts(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
-        for task, found in runs.items():
-            failed = [r for r in found if r.how == "failed" and r.acknowledged_at]
-            if len(failed) >= MAX_ATTEMPTS and found[-1].started_at > failed[-1].started_at:
+        for task, task_runs in runs.items():
+            failed = [r for r in task_runs if r.how == "failed" and r.acknowledged_at]
+            if len(failed) >= MAX_ATTEMPTS and task_runs[-1].started_at > failed[-1].started_at:
                 yield Finding("attempts are bounded", task)
 
     def _check_crashing_jobs(self, runs: dict[str, list[Run]]) -> Iterator[Finding]:
         for job in self.jobs.values():
-            found = runs.get(f"{job.id}.0.0.0", [])
-            if job.kind is JobKind.CRASHING and len(found) > MAX_CRASHING_STARTS:
-                yield Finding("a task that brings workers down is given up", str(found[-1]))
+            task_runs = runs.get(f"{job.id}.0.0.0", [])
+            if job.kind is JobKind.CRASHING and len(task_runs) > MAX_CRASHING_STARTS:
+                yield Finding("a task that brings workers down is given up", str(task_runs[-1]))
 
     def _check_capacity(self) -> Iterator[Finding]:
         """Check that no start exceeds the capacity that the worker was known to have."""
@@ -163,7 +163,7 @@
                     yield Finding("no start brings a worker over its room", str(run))
 
     def _max_known_capacity(self, worker: str, at: float) -> float:
-        """Return a worker's max capacity of late, or of all time if faults may have hidden a change.
+        """Return the max capacity that a worker had lately, or ever if faults hid changes.
 
         The unit is thousandths of a core.
         """
@@ -195,14 +195,14 @@
             yield Finding("nothing starts on a worker that leaves", str(run))
 
     def _check_account_limits(self) -> Iterator[Finding]:
-        found = find_runs_over_limit(
+        details = find_runs_over_limit(
             self.world.account_history,
             self.jobs,
             self.world.history,
             self._in_force_since,
             TASK_CPU_MILLIS,
         )
-        for detail in found:
+        for detail in details:
             yield Finding("an account keeps to its limit", detail)
 
     def _check_api_keys(self) -> Iterator[Finding]:
@@ -234,17 +234,21 @@
         for job in self.jobs.values():
             accepted_at = job.accepted_at
             cancel_at = job.cancel_sent_at or float("inf")
-            for seen in job.exchanges:
-                unknown = seen.method == "GET" and seen.status == 410
-                if unknown and accepted_at is not None and seen.sent_at > accepted_at:
-                    yield Finding("an accepted job is known", str(seen))
-                if seen.state == "completed" and not is_completed(runs, job):
-                    yield Finding("a completed job has ended", str(seen))
-                if seen.state == "cancelled" and seen.ended_at < cancel_at:
-                    yield Finding("only callers cancel", str(seen))
+            for exchange in job.exchanges:
+                unknown = exchange.method == "GET" and exchange.status == 410
+                if unknown and accepted_at is not None and exchange.sent_at > accepted_at:
+                    yield Finding("an accepted job is known", str(exchange))
+                if exchange.state == "completed" and not is_completed(runs, job):
+                    yield Finding("a completed job has ended", str(exchange))
+                if exchange.state == "cancelled" and exchange.ended_at < cancel_at:
+                    yield Finding("only callers cancel", str(exchange))
                 crashes = job.kind is JobKind.CRASHING
-                if seen.state == "failed" and not crashes and not has_exhausted_attempts(runs, job):
-                    yield Finding("a failed job has used its attempts", str(seen))
+                if (
+                    exchange.state == "failed"
+                    and not crashes
+                    and not has_exhausted_attempts(runs, job)
+                ):
+                    yield Finding("a failed job has used its attempts", str(exchange))
 
     def _check_cancellations(self) -> Iterator[Finding]:
         now = monotonic()
@@ -261,9 +265,9 @@
             if job.kind is not JobKind.LONG_RUNNING:
                 continue
             members = [runs.get(f"{job.id}.0.0.{n}", []) for n in range(job.task_count(0))]
-            for found in members:
-                others = [other for other in members if other is not found]
-                for run in found:
+            for task_runs in members:
+                others = [other for other in members if other is not task_runs]
+                for run in task_runs:
                     yield from self._check_budget_at_stop(job, run, others)
 
     def _check_budget_at_stop(
@@ -286,11 +290,11 @@
             return next((at for at in ordered if abs(run.ended_at - at) < ORDER_TIMEOUT_S), None)
         return None
 
-    def _is_unavailable(self, found: list[Run], at: float) -> bool:
+    def _is_unavailable(self, task_runs: list[Run], at: float) -> bool:
         """Return whether a task was unavailable by an order, or for longer than `MAX_AWAY_S`."""
-        if any(is_running_at(run, at) for run in found):
+        if any(is_running_at(run, at) for run in task_runs):
             return False
-        ended = [r for r in found if r.ended_at is not None and r.ended_at <= at]
+        ended = [r for r in task_runs if r.ended_at is not None and r.ended_at <= at]
         if not ended:
             return False
         last = max(ended, key=lambda run: run.ended_at or 0.0)
@@ -324,29 +328,29 @@
         """
         known: dict[int, tuple[int, float]] = {}
         probes = [probe for probe in self._route_probes() if probe.path.startswith("/v")]
-        for seen in sorted(probes, key=lambda exchange: exchange.ended_at):
-            version = int(seen.path.strip("/").removeprefix("v"))
-            newest, since = known.get(seen.pid, (0, 0.0))
-            if seen.status in (NO_RESPONSE, 404):
+        for exchange in sorted(probes, key=lambda exchange: exchange.ended_at):
+            version = int(exchange.path.strip("/").removeprefix("v"))
+            newest, since = known.get(exchange.pid, (0, 0.0))
+            if exchange.status in (NO_RESPONSE, 404):
                 continue
-            if version < newest and seen.sent_at > since:
-                yield Finding("configurations are not undone", str(seen))
+            if version < newest and exchange.sent_at > since:
+                yield Finding("configurations are not undone", str(exchange))
             if version > newest:
-                known[seen.pid] = (version, seen.ended_at)
+                known[exchange.pid] = (version, exchange.ended_at)
 
     def _check_added_routes(self) -> Iterator[Finding]:
         """Check that permanent routes are served in time while there are no unplanned faults."""
-        for seen in self._route_probes():
-            added_at = self.world.added_routes.get(seen.path.strip("/"))
-            refused = seen.status == 404 or seen.reason.startswith(OUT_OF_DATE_PREFIX)
+        for exchange in self._route_probes():
+            added_at = self.world.added_routes.get(exchange.path.strip("/"))
+            refused = exchange.status == 404 or exchange.reason.startswith(OUT_OF_DATE_PREFIX)
             if added_at is None or not refused:
                 continue
             due_from = max(
                 added_at + CONFIGURE_TIMEOUT_S,
-                self.injector.fault_free_since(seen.sent_at) + MIN_FAULT_FREE_S,
+                self.injector.fault_free_since(exchange.sent_at) + MIN_FAULT_FREE_S,
             )
-            if seen.sent_at > due_from:
-                yield Finding("an added route is served in time", str(seen))
+            if exchange.sent_at > due_from:
+                yield Finding("an added route is served in time", str(exchange))
 
     def _route_probes(self) -> Iterable[Exchange]:
         return (probe for caller in self.callers for probe in caller.route_probes)
--- a/soak/_run_history.py
+++ b/soak/_run_history.py
@@ -16,10 +16,10 @@
 
 def group_by_task(history: Iterable[Run]) -> dict[str, list[Run]]:
     """Return the runs of each task, oldest first."""
-    found: dict[str, list[Run]] = defaultdict(list)
+    grouped: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(history, key=lambda run: run.started_at):
-        found[run.task].append(run)
-    return found
+        grouped[run.task].append(run)
+    return grouped
 
 
 def is_running_at(run: Run, at: float) -> bool:
@@ -36,8 +36,8 @@
 def step_completed_at(runs: dict[str, list[Run]], job: SentJob, step: int) -> float | None:
     """Return the time at which the last task of a step succeeded; None until all have."""
     ends = []
-    for place in range(job.task_count(step)):
-        done = [r for r in runs.get(f"{job.id}.0.{step}.{place}", []) if r.how == "done"]
+    for index in range(job.task_count(step)):
+        done = [r for r in runs.get(f"{job.id}.0.{step}.{index}", []) if r.how == "done"]
         if not done:
             return None
         ends.append(min(run.ended_at or 0.0 for run in done))
@@ -52,7 +52,7 @@
 def has_exhausted_attempts(runs: dict[str, list[Run]], job: SentJob) -> bool:
     """Return whether a task of a job has used all its attempts."""
     return any(
-        sum(1 for run in found if run.how == "failed") >= MAX_ATTEMPTS
-        for task, found in runs.items()
+        sum(1 for run in task_runs if run.how == "failed") >= MAX_ATTEMPTS
+        for task, task_runs in runs.items()
         if task.startswith(job.id)
     )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Tests of the soak itself, and its seeds that once failed, played again."""
+"""Tests of the soak itself, and runs of its regression plans and of some seeds."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class PlanTest(unittest.TestCase):
-    """Plans can be drawn, kept and played again."""
+    """Drawing, saving and loading of plans."""
 
-    def test_seed_gives_the_same_plan_again(self) -> None:
+    def test_seed_determines_the_plan(self) -> None:
         self.assertEqual(draw_plan(7, 10, Deployment()), draw_plan(7, 10, Deployment()))
 
-    def test_kept_plan_is_read_unchanged(self) -> None:
+    def test_saved_plan_is_loaded_unchanged(self) -> None:
         plan = draw_plan(8, 10, Deployment())
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "plan.json"
@@ -40,7 +40,7 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """The loopback proxy."""
+    """The loopback proxy between two parties."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -54,15 +54,15 @@
     async def asyncTearDown(self) -> None:
         self.writer.close()
         await self.link.close()
-        await self.echoed
+        await self.echo_task
         self.server.close()
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.echoed = asyncio.create_task(self.echo(reader, writer))
+        self.echo_task = asyncio.create_task(self.echo(reader, writer))
 
     async def echo(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.received = asyncio.Event()
-        # A link that is reset breaks this connection as well.
+        # Resetting the link breaks this connection as well.
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(100):
                 self.received.set()
@@ -70,13 +70,13 @@
                 await writer.drain()
         writer.close()
 
-    async def test_held_bytes_arrive_once_the_link_is_whole(self) -> None:
+    async def test_held_bytes_arrive_once_the_link_is_restored(self) -> None:
         self.link.let_pass(Passage.NOTHING)
         self.writer.write(b"held")
         self.link.let_pass(Passage.BOTH_WAYS)
         self.assertEqual(b"held", await self.reader.readexactly(4))
 
-    async def test_one_way_carries_requests_and_no_answers(self) -> None:
+    async def test_one_way_link_carries_requests_but_no_responses(self) -> None:
         self.writer.write(b"first")
         await self.reader.readexactly(5)
         self.link.let_pass(Passage.REQUESTS_ONLY)
@@ -96,7 +96,7 @@
 
 
 class CheckerTest(unittest.IsolatedAsyncioTestCase):
-    """Histories that break a promise are found."""
+    """Detection of broken promises in histories."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
@@ -104,7 +104,7 @@
         self.job = SentJob(JOB, JobKind.SHORT, [{"count": 1}])
         for number in range(100):
             self.world.rooms[f"w-{number}"] = [(0.0, WORKER_CPU)]
-        self.see("POST", 200)
+        self.record_exchange("POST", 200)
         caller = cast(
             "Caller",
             type("OneJob", (), {"jobs": [self.job], "route_probes": [], "key_probes": []})(),
@@ -114,54 +114,54 @@
     async def asyncTearDown(self) -> None:
         self.world.nodes.close()
 
-    def see(self, method: str, status: int, state: str = "") -> None:
+    def record_exchange(self, method: str, status: int, state: str = "") -> None:
         now = float(len(self.job.exchanges) + 1)
         path = f"/quick/{JOB}"
         self.job.exchanges.append(Exchange(method, path, "node", 1, now, now, status, state))
 
-    def ran(self, number: int, started_at: float, ended_at: float | None, how: str) -> Run:
+    def add_run(self, number: int, started_at: float, ended_at: float | None, how: str) -> Run:
         run = Run(TASK, number, f"w-{number}", "short", "", 1, started_at, ended_at, how)
         self.world.history.append(run)
         return run
 
-    def found(self) -> set[str]:
+    def broken_promises(self) -> set[str]:
         self.checker.check()
         return {finding.promise for finding in self.checker.findings}
 
-    def test_sound_history(self) -> None:
-        self.ran(1, 1.0, 2.0, "failed")
-        self.ran(2, 3.0, 4.0, "done").acknowledged_at = 4.1
-        self.see("GET", 200, "completed")
-        self.assertEqual(set(), self.found())
+    def test_history_without_broken_promises(self) -> None:
+        self.add_run(1, 1.0, 2.0, "failed")
+        self.add_run(2, 3.0, 4.0, "done").acknowledged_at = 4.1
+        self.record_exchange("GET", 200, "completed")
+        self.assertEqual(set(), self.broken_promises())
 
     def test_two_runs_at_once(self) -> None:
-        self.ran(1, 1.0, None, "")
-        self.ran(2, 3.0, None, "")
-        self.assertIn("no task runs twice at once", self.found())
+        self.add_run(1, 1.0, None, "")
+        self.add_run(2, 3.0, None, "")
+        self.assertIn("no task runs twice at once", self.broken_promises())
 
     def test_run_after_a_confirmed_end(self) -> None:
-        self.ran(1, 1.0, 2.0, "done").acknowledged_at = 5.0
-        self.ran(2, 3.0, 4.0, "done")
-        self.assertIn("a task that is done does not run again", self.found())
+        self.add_run(1, 1.0, 2.0, "done").acknowledged_at = 5.0
+        self.add_run(2, 3.0, 4.0, "done")
+        self.assertIn("a task that is done does not run again", self.broken_promises())
 
     def test_refused_job_that_runs(self) -> None:
         self.job.exchanges.clear()
-        self.see("POST", 503)
-        self.ran(1, 1.0, 2.0, "done")
-        self.assertIn("a refused job does not run", self.found())
+        self.record_exchange("POST", 503)
+        self.add_run(1, 1.0, 2.0, "done")
+        self.assertIn("a refused job does not run", self.broken_promises())
 
-    def test_completed_without_an_end(self) -> None:
-        self.see("GET", 200, "completed")
-        self.assertIn("a completed job has ended", self.found())
+    def test_job_reported_completed_without_an_end(self) -> None:
+        self.record_exchange("GET", 200, "completed")
+        self.assertIn("a completed job has ended", self.broken_promises())
 
-    def test_accepted_job_that_is_not_known(self) -> None:
-        self.see("GET", 410)
-        self.assertIn("an accepted job is known", self.found())
+    def test_accepted_job_reported_as_unknown(self) -> None:
+        self.record_exchange("GET", 410)
+        self.assertIn("an accepted job is known", self.broken_promises())
 
-    def test_start_on_a_worker_whose_room_has_shrunk(self) -> None:
+    def test_start_beyond_reduced_capacity(self) -> None:
         self.world.rooms["w-1"] = [(0.0, 4000), (10.0, 500)]
-        self.ran(1, 9.0, 20.0, "done")
-        beside = Run(
+        self.add_run(1, 9.0, 20.0, "done")
+        concurrent = Run(
             f"{JOB}.0.0.1",
             1,
             "w-1",
@@ -172,40 +172,46 @@
             20.0,
             "done",
         )
-        self.world.history.append(beside)
-        self.assertNotIn("no start brings a worker over its room", self.found())
-        beside.started_at = 10.0 + 2 * CAPACITY_UPDATE_TIMEOUT_S
-        self.assertIn("no start brings a worker over its room", self.found())
+        self.world.history.append(concurrent)
+        self.assertNotIn("no start brings a worker over its room", self.broken_promises())
+        concurrent.started_at = 10.0 + 2 * CAPACITY_UPDATE_TIMEOUT_S
+        self.assertIn("no start brings a worker over its room", self.broken_promises())
 
-    def test_crashing_task_that_is_started_on_and_on(self) -> None:
+    def test_crashing_task_started_too_often(self) -> None:
         self.job.kind = JobKind.CRASHING
         for number in range(MAX_CRASHING_STARTS):
-            self.ran(number, float(number), number + 0.1, "gone")
-        self.assertNotIn("a task that brings workers down is given up", self.found())
-        self.ran(99, 99.0, 99.1, "gone")
-        self.assertIn("a task that brings workers down is given up", self.found())
+            self.add_run(number, float(number), number + 0.1, "gone")
+        self.assertNotIn("a task that brings workers down is given up", self.broken_promises())
+        self.add_run(99, 99.0, 99.1, "gone")
+        self.assertIn("a task that brings workers down is given up", self.broken_promises())
 
-    def test_job_that_is_given_up_for_its_neighbour(self) -> None:
-        self.ran(1, 1.0, 1.1, "gone")
-        self.see("GET", 200, "failed")
-        self.assertIn("a failed job has used its attempts", self.found())
+    def test_job_reported_failed_before_its_attempts_are_used(self) -> None:
+        """The job is given up after a single crash, for which another task is responsible."""
+        self.add_run(1, 1.0, 1.1, "gone")
+        self.record_exchange("GET", 200, "failed")
+        self.assertIn("a failed job has used its attempts", self.broken_promises())
 
 
-class PlayTest(unittest.IsolatedAsyncioTestCase):
-    """Real processes under faults."""
+class RunPlanTest(unittest.IsolatedAsyncioTestCase):
+    """Runs of real processes under faults."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
 
-    async def hold(self, plans: list[Plan]) -> None:
-        with tempfile.TemporaryDirectory() as keep:
-            outcomes = await asyncio.gather(*(run_plan(plan, Path(keep)) for plan in plans))
+    async def assert_promises_hold(self, plans: list[Plan]) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            outcomes = await asyncio.gather(*(run_plan(plan, Path(folder)) for plan in plans))
         for outcome in outcomes:
             self.assertEqual([], outcome.findings, f"seed {outcome.plan.seed}")
             self.assertGreater(outcome.runs, 0)
 
-    async def test_seeds_that_once_failed(self) -> None:
-        await self.hold([load_plan(path) for path in sorted(REGRESSIONS.glob("*.json"))])
+    async def test_regression_plans(self) -> None:
+        """Each of these plans once broke a promise."""
+        await self.assert_promises_hold(
+            [load_plan(path) for path in sorted(REGRESSIONS.glob("*.json"))]
+        )
 
     async def test_short_seeded_runs(self) -> None:
-        await self.hold([draw_plan(seed, CI_LENGTH_S, Deployment()) for seed in CI_SEEDS])
+        await self.assert_promises_hold(
+            [draw_plan(seed, CI_LENGTH_S, Deployment()) for seed in CI_SEEDS]
+        )
