--- a/pumicespur/commands/_output.py
+++ b/pumicespur/commands/_output.py
@@ -1,4 +1,4 @@
-"""Write answers as a table for a person or as JSON for a script."""
+"""Print responses as tables for people or as JSON for scripts."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def print_changes(response: ApplyResponse, *, dry_run: bool) -> None:
-    """Print what an apply changed, or would change."""
+    """Print the sections that an apply changed, or would change."""
     for finding in response.findings:
         print(format_finding(finding))
     verb = "would change" if dry_run else "changed"
@@ -41,8 +41,10 @@
 
 
 def print_status(status: StatusResponse) -> None:
-    """Print the state of pools, waves and processes."""
-    print(f"revision {status.revision}, told by {status.process}, planner {status.planner or '-'}")
+    """Print the state of pools, waves and processes as tables."""
+    print(
+        f"revision {status.revision}, reported by {status.process}, planner {status.planner or '-'}"
+    )
     print()
     header = ("POOL", "SIZE", "ASSIGNED", "AVAILABLE", "BUDGET", "BUFFER")
     pools = [
--- a/pumicespur/commands/apply.py
+++ b/pumicespur/commands/apply.py
@@ -26,7 +26,7 @@
     dry_run: bool,
     as_json: bool,
 ) -> None:
-    """Check the files, then put what differs; with `prune`, remove what the files lack."""
+    """Check the files, then apply them; with `prune`, also remove the sections that they lack."""
     declaration, warnings = load_declaration(paths)
     for finding in warnings:
         print(format_finding(finding))
@@ -35,7 +35,7 @@
     request = ApplyRequest(
         schema_version=SCHEMA_VERSION,
         put=declaration,
-        removals=missing_sections(current, declaration) if prune else Removals(),
+        removals=sections_to_prune(current, declaration) if prune else Removals(),
         base_revision=status.revision if base is None else base,
         dry_run=dry_run,
     )
@@ -48,8 +48,8 @@
         print_changes(response, dry_run=dry_run)
 
 
-def missing_sections(current: Declaration, wanted: Declaration) -> Removals:
-    """Return the sections that are declared now and not wanted any more."""
+def sections_to_prune(current: Declaration, wanted: Declaration) -> Removals:
+    """Return the currently declared sections that are not in the wanted declaration."""
     removals = Removals()
     kinds = {
         "pool": removals.pools,
--- a/pumicespur/commands/check.py
+++ b/pumicespur/commands/check.py
@@ -1,4 +1,4 @@
-"""Check settings and declarations without touching anything."""
+"""Check files of settings and declarations without contacting a manager."""
 
 from __future__ import annotations
 
--- a/pumicespur/commands/drain.py
+++ b/pumicespur/commands/drain.py
@@ -1,4 +1,4 @@
-"""Take one instance out of service, or back into it."""
+"""Drain one instance, or return it to service."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 async def drain(client: OperatorClient, instance: str, *, resume: bool, as_json: bool) -> None:
-    """Ask for the drain or the return; it is committed when this ends."""
-    answer = await client.drain(DrainRequest(instance=instance, resume=resume))
+    """Request the drain or the return; return once the change is committed."""
+    response = await client.drain(DrainRequest(instance=instance, resume=resume))
     if as_json:
-        print_json(answer)
+        print_json(response)
     else:
         verb = "returns to service" if resume else "drains"
-        print(f"{instance} {verb}, revision {answer.revision}")
+        print(f"{instance} {verb}, revision {response.revision}")
--- a/pumicespur/commands/dump.py
+++ b/pumicespur/commands/dump.py
@@ -1,4 +1,4 @@
-"""Print the state of a process."""
+"""Print the state dump of a process."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 async def dump(client: OperatorClient, process: str) -> None:
-    """Ask a manager for the dump of itself or of any process that it knows."""
-    answer = await client.dump(process)
-    print(json.dumps(json.loads(answer.json), indent=2))
+    """Print the state dump of the manager itself, or of any process that it knows."""
+    response = await client.dump(process)
+    print(json.dumps(json.loads(response.json), indent=2))
--- a/pumicespur/commands/explain.py
+++ b/pumicespur/commands/explain.py
@@ -1,4 +1,4 @@
-"""Put the log lines of several processes about one id in order."""
+"""Print the log lines of several processes about one id, in order of time."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     from collections.abc import Iterable, Sequence
     from pathlib import Path
 
-HIDDEN = frozenset({"time", "level", "process", "event"})
-"""Fields that have a column of their own."""
+COLUMN_FIELDS = frozenset({"time", "level", "process", "event"})
+"""Log fields that are printed in a column of their own."""
 
 CONTEXT_EVENTS = frozenset(
     {
@@ -27,12 +27,12 @@
         "configuration in force",
     }
 )
-"""Events without a job's id that may have decided what became of it."""
+"""Events that carry no job id but may explain what happened to a job of the same pool."""
 
 
 @dataclass(frozen=True)
-class Line:
-    """One log line; the time is seconds since 1970."""
+class LogLine:
+    """One structured log line; the time is in seconds since 1970."""
 
     time: float
     process: str
@@ -41,17 +41,17 @@
 
 
 def explain(wanted: str, files: Sequence[Path], *, as_json: bool = False) -> None:
-    """Print what the processes' logs say of a job, a task, a worker or a pool."""
+    """Print the log lines about a job, a task, a worker or a pool."""
     lines = [line for path in files for line in read_lines(path)]
-    found = about(wanted, lines)
+    found = select_lines(wanted, lines)
     if not found:
         raise PumicespurError(f"no line of {len(files)} file(s) is about {wanted!r}")
     for line in found:
         print(_as_json(line) if as_json else _as_row(line, found[0].time))
 
 
-def read_lines(path: Path) -> Iterable[Line]:
-    """Read the structured lines of a file; anything else in it is passed over."""
+def read_lines(path: Path) -> Iterable[LogLine]:
+    """Yield the structured lines of a file; other lines are skipped."""
     with path.open(encoding="utf-8", errors="replace") as text:
         for row in text:
             start = row.find("{")
@@ -60,20 +60,20 @@
             try:
                 fields = json.loads(row[start:])
             except json.JSONDecodeError:
-                # Not one of the program's lines, or one cut off by the end of its process.
+                # Not a line of this program, or one that was cut off when its process ended.
                 continue
             if "event" in fields and "time" in fields:
-                yield Line(fields["time"], fields.get("process", ""), fields["event"], fields)
+                yield LogLine(fields["time"], fields.get("process", ""), fields["event"], fields)
 
 
-def about(wanted: str, lines: Iterable[Line]) -> list[Line]:
-    """Pick the lines that name an id, and those of its pool that may have decided about it."""
+def select_lines(wanted: str, lines: Iterable[LogLine]) -> list[LogLine]:
+    """Return the lines that mention an id, with the context events of its pool, sorted by time."""
     ordered = sorted(lines, key=lambda line: line.time)
-    direct = [line for line in ordered if _names(line, wanted)]
-    if not direct:
+    mentioning = [line for line in ordered if _mentions(line, wanted)]
+    if not mentioning:
         return []
-    pools = {line.fields["pool"] for line in direct if "pool" in line.fields}
-    first, last = direct[0].time, direct[-1].time
+    pools = {line.fields["pool"] for line in mentioning if "pool" in line.fields}
+    first, last = mentioning[0].time, mentioning[-1].time
     context = [
         line
         for line in ordered
@@ -81,21 +81,25 @@
         and first <= line.time <= last
         and line.fields.get("pool") in pools
     ]
-    return sorted({id(line): line for line in [*direct, *context]}.values(), key=lambda x: x.time)
+    return sorted(
+        {id(line): line for line in [*mentioning, *context]}.values(), key=lambda x: x.time
+    )
 
 
-def _names(line: Line, wanted: str) -> bool:
-    named = (value for key, value in line.fields.items() if key not in HIDDEN)
+def _mentions(line: LogLine, wanted: str) -> bool:
+    values = (value for key, value in line.fields.items() if key not in COLUMN_FIELDS)
     return any(
         isinstance(value, str) and (value == wanted or value.startswith(wanted + "."))
-        for value in named
+        for value in values
     )
 
 
-def _as_json(line: Line) -> str:
+def _as_json(line: LogLine) -> str:
     return json.dumps(line.fields, separators=(",", ":"))
 
 
-def _as_row(line: Line, start: float) -> str:
-    told = " ".join(f"{key}={value}" for key, value in line.fields.items() if key not in HIDDEN)
-    return f"{line.time - start:+9.3f}s  {line.process:<20}  {line.event:<24}  {told}"
+def _as_row(line: LogLine, start: float) -> str:
+    rest = " ".join(
+        f"{key}={value}" for key, value in line.fields.items() if key not in COLUMN_FIELDS
+    )
+    return f"{line.time - start:+9.3f}s  {line.process:<20}  {line.event:<24}  {rest}"
--- a/pumicespur/commands/node.py
+++ b/pumicespur/commands/node.py
@@ -1,6 +1,6 @@
 """Run the role `node` as a long-running process.
 
-The module can be run by itself, which loads none of the libraries that the other commands use.
+The module can be run on its own (`python -m`), without loading the libraries of the other commands.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 from pathlib import Path
 
 if __name__ == "__main__":
-    # A process that still loads has nothing to read again; unhandled, the signal would end it.
+    # SIGHUP asks for the settings to be read again, which is pointless while the process loads.
+    # Unhandled, it would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Loading leaves no garbage to look for, and aiohttp reads the system's certificates when it is
-    # loaded, while this process makes no TLS calls. Without both the start takes 0.43 s instead
-    # of 0.56 s on half a core of double speed (means of three starts).
+    # Both shorten the start, from 0.56 s to 0.43 s on half a core of double speed. Importing leaves
+    # no garbage to collect, and aiohttp loads the system's certificates on import, although this
+    # process makes no TLS calls.
     gc.disable()
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
@@ -28,11 +29,11 @@
 from pumicespur.utils import run_process, set_up_event_log
 
 SETTINGS_VARIABLE = "PUMICESPUR_NODE_FILE"
-"""Environment variable that names the settings file when none is given."""
+"""Environment variable with the settings file's path, read when the module is run on its own."""
 
 
 def node(path: Path) -> None:
-    """Read the settings, then serve until a signal asks for a stop."""
+    """Read the settings, then serve until a signal requests a stop."""
     gc.freeze()
     gc.enable()
     settings = load_node_settings(path)
--- a/pumicespur/commands/run.py
+++ b/pumicespur/commands/run.py
@@ -20,7 +20,7 @@
 
 
 def run(role: Role, path: Path) -> None:
-    """Read the settings, then serve until a signal asks for a stop."""
+    """Read the settings, then serve until a signal requests a stop."""
     settings, warnings = load_settings(path, role)
     set_up_logs(settings.process.id, settings.process.log_level)
     for finding in warnings:
--- a/pumicespur/commands/status.py
+++ b/pumicespur/commands/status.py
@@ -14,39 +14,39 @@
     from pumicespur.operators import OperatorClient
 
 JOB_TIMEOUT_S = 5.0
-"""Longer than a node waits for the store before it says that the store does not tell."""
+"""Longer than a node waits for the store, so that its error about a silent store still arrives."""
 
 
 async def status(client: OperatorClient, *, as_json: bool) -> None:
-    """Ask a manager and print its answer."""
-    answer = await client.status()
+    """Print the status that a manager reports."""
+    response = await client.status()
     if as_json:
-        print_json(answer)
+        print_json(response)
     else:
-        print_status(answer)
+        print_status(response)
 
 
 async def job_status(node: str, job: str, *, as_json: bool) -> None:
-    """Ask a node what is recorded of a job, and print it."""
-    found = await _fetch(node, job)
+    """Print what a node reports of a job, with the reason if it failed."""
+    job_fields = await _fetch_job(node, job)
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(job_fields))
         return
-    rows = [(name, _as_text(value)) for name, value in found.items() if value]
+    rows = [(name, _as_text(value)) for name, value in job_fields.items() if value]
     print_table(("FIELD", "VALUE"), rows)
 
 
-async def _fetch(node: str, job: str) -> dict[str, Any]:
+async def _fetch_job(node: str, job: str) -> dict[str, Any]:
     url = f"{node.rstrip('/')}/jobs/{job}"
     try:
         async with httpx.AsyncClient(timeout=JOB_TIMEOUT_S) as client:
-            answer = await client.get(url)
-        found = answer.json()
+            response = await client.get(url)
+        job_fields = response.json()
     except (httpx.HTTPError, httpx.InvalidURL, ValueError) as failure:
-        raise PumicespurError(f"no answer from {node}: {failure}") from failure
-    if answer.status_code != httpx.codes.OK:
-        raise PumicespurError(str(found.get("error", answer.status_code)))
-    return dict(found)
+        raise PumicespurError(f"no usable response from {node}: {failure}") from failure
+    if response.status_code != httpx.codes.OK:
+        raise PumicespurError(str(job_fields.get("error", response.status_code)))
+    return dict(job_fields)
 
 
 def _as_text(value: object) -> str:
--- a/pumicespur/commands/wave.py
+++ b/pumicespur/commands/wave.py
@@ -13,18 +13,18 @@
 if TYPE_CHECKING:
     from pumicespur.operators import OperatorClient
 
-WATCH_S = 1.0
+WATCH_INTERVAL_S = 1.0
 
 
 async def control_wave(
     client: OperatorClient, wave: str, action: WaveAction, *, watch: bool, as_json: bool
 ) -> None:
-    """Act on the wave; with `watch`, print its progress until it no longer runs."""
-    answer = await client.control_wave(WaveRequest(wave=wave, action=action))
+    """Apply an action to the wave; with `watch`, print its progress until it no longer runs."""
+    response = await client.control_wave(WaveRequest(wave=wave, action=action))
     if as_json:
-        print_json(answer)
+        print_json(response)
     else:
-        print(f"wave {wave}: {action.name.lower()}, revision {answer.revision}")
+        print(f"wave {wave}: {action.name.lower()}, revision {response.revision}")
     if watch:
         await watch_wave(client, wave)
 
@@ -46,4 +46,4 @@
             shown = line
         if progress.phase is not WavePhase.RUNNING:
             return
-        await anyio.sleep(WATCH_S)
+        await anyio.sleep(WATCH_INTERVAL_S)
--- a/pumicespur/exceptions.py
+++ b/pumicespur/exceptions.py
@@ -1,4 +1,4 @@
-"""The errors whose messages are written for the user."""
+"""Errors whose messages are meant for the user."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class PumicespurError(Exception):
-    """The base of all expected failures; printed as one line, without a traceback."""
+    """Base class of all expected failures; printed as one line, without a traceback."""
 
     exit_code = 1
 
 
 class ConfigurationError(PumicespurError):
-    """Settings or declarations that can't be used; carries every finding."""
+    """Invalid settings or declarations; carries every finding."""
 
     exit_code = 2
 
@@ -33,6 +33,6 @@
 
 
 class UnreachableError(PumicespurError):
-    """A process or the platform did not answer; whether a change took effect may be unknown."""
+    """A process or the platform did not respond; whether a change took effect may be unknown."""
 
     exit_code = 4
--- a/pumicespur/operators/__init__.py
+++ b/pumicespur/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' service and its client."""
+"""The service for operators and its client."""
 
 from __future__ import annotations
 
--- a/pumicespur/operators/_changes.py
+++ b/pumicespur/operators/_changes.py
@@ -1,4 +1,4 @@
-"""What operators may change of instances and waves, by hand."""
+"""Changes that operators make to single instances and waves."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from pumicespur.schema.operators_pb import WaveRequest
 
-TRANSITIONS: dict[WaveAction, tuple[set[WavePhase | None], WavePhase]] = {
+WAVE_TRANSITIONS: dict[WaveAction, tuple[set[WavePhase | None], WavePhase]] = {
     WaveAction.START: (
         {None, WavePhase.DONE, WavePhase.ABORTED, WavePhase.HALTED},
         WavePhase.RUNNING,
@@ -34,11 +34,11 @@
         WavePhase.ABORTED,
     ),
 }
-"""For each action on a wave: the phases it takes, and the phase it leads to."""
+"""For each action on a wave: the phases that allow it (None: not started), and the next phase."""
 
 
-def drained(assignment: Assignment) -> Assignment | None:
-    """Return the assignment of an instance that an operator drains; None if it is drained."""
+def drain_assignment(assignment: Assignment) -> Assignment | None:
+    """Return the assignment of an instance drained by an operator; None if it already is one."""
     if assignment.state is not InstanceState.SERVING:
         if assignment.reason is DrainReason.OPERATOR:
             return None
@@ -53,13 +53,14 @@
     )
 
 
-def resumed(assignment: Assignment) -> Assignment:
-    """Return the assignment of an instance that an operator takes back into service."""
+def resume_assignment(assignment: Assignment) -> Assignment:
+    """Return the assignment of an instance that an operator returns to service."""
     serving = assignment.state is InstanceState.SERVING
     if not serving and assignment.reason is not DrainReason.OPERATOR:
         text = f"instance: {assignment.instance} was not drained by an operator"
         raise ConnectError(Code.FAILED_PRECONDITION, text)
-    # When somebody else drained it, a resume under a new token takes it back.
+    # A serving instance may have been drained by something else, such as a script. A resume
+    # order under a new token returns it to service.
     token = uuid.uuid4().hex if serving else assignment.token
     return replace_fields(
         assignment,
@@ -70,26 +71,27 @@
     )
 
 
-def next_progress(fleet: Fleet, request: WaveRequest) -> WaveProgress:
-    """Return a wave's progress after an action; raise ConnectError if it takes none such."""
+def apply_wave_action(fleet: Fleet, request: WaveRequest) -> WaveProgress:
+    """Return a wave's progress after an action; raise ConnectError if the action is not allowed."""
     name = WaveId(request.wave)
     if name not in fleet.waves:
         raise ConnectError(Code.NOT_FOUND, f"wave: no such wave {request.wave!r}")
-    if request.action not in TRANSITIONS:
+    if request.action not in WAVE_TRANSITIONS:
         raise ConnectError(Code.INVALID_ARGUMENT, "action: takes start, pause, resume or abort")
     current = fleet.progress.get(name)
     phase = current.phase if current else None
-    takes, leads_to = TRANSITIONS[request.action]
-    if phase not in takes:
+    allowed_phases, next_phase = WAVE_TRANSITIONS[request.action]
+    if phase not in allowed_phases:
         shown = phase.name.lower() if phase else "not started"
         text = f"wave: {request.wave} is {shown} and can't {request.action.name.lower()}"
         raise ConnectError(Code.FAILED_PRECONDITION, text)
     if request.action is WaveAction.START or current is None:
         run = current.run + 1 if current else 1
-        return WaveProgress(wave=name, phase=leads_to, started_ms=now_ms(), run=run)
-    changed = replace_fields(current, phase=leads_to, reason="")
+        return WaveProgress(wave=name, phase=next_phase, started_ms=now_ms(), run=run)
+    changed = replace_fields(current, phase=next_phase, reason="")
     if request.action is WaveAction.RESUME:
-        # Operators resume a halted wave after looking: its failures get another try.
+        # Operators resume a halted wave once they have checked it: the instances that failed are
+        # maintained again and no longer count as failed.
         changed.failed = 0
         changed.resumed_ms = now_ms()
     if request.action is WaveAction.ABORT:
--- a/pumicespur/operators/_client.py
+++ b/pumicespur/operators/_client.py
@@ -1,4 +1,4 @@
-"""The client of the operators' calls, for the command line."""
+"""Client of the operator service, for the command line."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
     from pumicespur.schema.peer_pb import DumpReply
 
-Answer = TypeVar("Answer")
+ResponseT = TypeVar("ResponseT")
 
-TIMEOUT_MS = 15_000
+CALL_TIMEOUT_MS = 15_000
 
 
-def _read(path: Path | None) -> bytes | None:
+def _read_if_given(path: Path | None) -> bytes | None:
     if path is None:
         return None
     try:
@@ -46,30 +46,30 @@
 
 @dataclass(frozen=True)
 class ClientTls:
-    """Files for calls over TLS; none for plain HTTP."""
+    """PEM files for calls over TLS; None for a file that is not used, as with plain HTTP."""
 
     authority: Path | None = None
     certificate: Path | None = None
     key: Path | None = None
 
 
-PLAIN = ClientTls()
+NO_TLS_FILES = ClientTls()
 
 
 class OperatorClient:
-    """Calls to a manager; failures are raised as errors for the user."""
+    """Client of one manager; failures are raised as PumicespurError with a message for the user."""
 
-    def __init__(self, url: str, operator: str, tls: ClientTls = PLAIN) -> None:
+    def __init__(self, url: str, operator: str, tls: ClientTls = NO_TLS_FILES) -> None:
         self.url = url
         transport = HTTPTransport(
             proxy=[],
             enable_otel=False,
-            tls_ca_cert=_read(tls.authority),
-            tls_cert=_read(tls.certificate),
-            tls_key=_read(tls.key),
+            tls_ca_cert=_read_if_given(tls.authority),
+            tls_cert=_read_if_given(tls.certificate),
+            tls_key=_read_if_given(tls.key),
         )
         self._stub = Stub(
-            url, http_client=Client(transport), timeout_ms=TIMEOUT_MS, send_compression=None
+            url, http_client=Client(transport), timeout_ms=CALL_TIMEOUT_MS, send_compression=None
         )
         self._headers = {OPERATOR_HEADER: operator}
 
@@ -86,7 +86,7 @@
         return response
 
     async def status(self) -> StatusResponse:
-        """Ask for the state."""
+        """Return the state of the fleet as the manager knows it."""
         return await self._call(self._stub.status(StatusRequest(), headers=self._headers))
 
     async def drain(self, request: DrainRequest) -> DrainResponse:
@@ -98,11 +98,11 @@
         return await self._call(self._stub.control_wave(request, headers=self._headers))
 
     async def dump(self, process: str) -> DumpReply:
-        """Ask for a process's state dump."""
+        """Return the state dump of a process, by its id."""
         request = ProcessDumpRequest(process=process)
         return await self._call(self._stub.dump(request, headers=self._headers))
 
-    async def _call(self, call: Awaitable[Answer]) -> Answer:
+    async def _call(self, call: Awaitable[ResponseT]) -> ResponseT:
         try:
             return await call
         except ConnectError as failure:
--- a/pumicespur/operators/_review.py
+++ b/pumicespur/operators/_review.py
@@ -1,4 +1,4 @@
-"""What applying a request would change, and what stands against it."""
+"""Review of an apply request: the sections it would change, and why it may be refused."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def review(fleet: Fleet, request: ApplyRequest) -> ApplyResponse:
-    """Find what applying a request would change, and what stands against it."""
+    """Return the sections that a request would change, its conflicts and its findings."""
     put = request.put or Declaration()
     removals = request.removals or Removals()
     changed = changed_sections(fleet.declaration(), put, removals)
@@ -30,14 +30,14 @@
         if (change := fleet.changes.get(SectionName(name)))
         and change.revision > request.base_revision
     ]
-    after = Fleet.from_snapshot(fleet.snapshot())
-    after.apply(Record(revision=fleet.revision + 1, put=put, removals=removals))
-    findings = check_declaration(after.declaration())
-    findings += _unknown_removals(fleet, removals)
+    fleet_after = Fleet.from_snapshot(fleet.snapshot())
+    fleet_after.apply(Record(revision=fleet.revision + 1, put=put, removals=removals))
+    findings = check_declaration(fleet_after.declaration())
+    findings += _find_unknown_removals(fleet, removals)
     return ApplyResponse(changed=list(changed), conflicts=conflicts, findings=findings)
 
 
-def _unknown_removals(fleet: Fleet, removals: Removals) -> list[Finding]:
+def _find_unknown_removals(fleet: Fleet, removals: Removals) -> list[Finding]:
     present = sections_of(fleet.declaration())
     return [
         Finding(severity=Severity.WARNING, section=name, message="is not there to be removed")
--- a/pumicespur/operators/_service.py
+++ b/pumicespur/operators/_service.py
@@ -1,4 +1,7 @@
-"""The operators' calls: check, then append to the log; every manager answers them."""
+"""The service for operators; every manager serves it.
+
+Changes are checked, then appended to the log.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from logbook import Logger
 
 from pumicespur.config import has_errors
-from pumicespur.operators._changes import drained, next_progress, resumed
+from pumicespur.operators._changes import apply_wave_action, drain_assignment, resume_assignment
 from pumicespur.operators._review import review
 from pumicespur.operators._status import measure_pools
 from pumicespur.schema.fleet_pb import (
@@ -50,13 +53,13 @@
 log = Logger(__name__)
 
 SCHEMA_VERSION = 1
-MAX_CALL_BYTES = 16 * 1024 * 1024
+MAX_REQUEST_BYTES = 16 * 1024 * 1024
 OPERATOR_HEADER = "pumicespur-operator"
 ANONYMOUS = "anonymous"
 
 
 class OperatorService(Operators):
-    """Answers operators from this process's replica, and appends what they change."""
+    """Serves operators from this process's replica and appends their changes to the log."""
 
     def __init__(
         self,
@@ -73,7 +76,7 @@
         self.dump_state = dump
 
     async def apply(self, request: ApplyRequest, ctx: RequestContext[Any, Any], /) -> ApplyResponse:
-        """Put and remove sections, unless somebody else changed them since the base."""
+        """Put and remove sections, unless somebody else changed them after the base revision."""
         if request.schema_version != SCHEMA_VERSION:
             text = (
                 f"schema_version: this process takes {SCHEMA_VERSION}, not {request.schema_version}"
@@ -99,7 +102,7 @@
     async def status(
         self, request: StatusRequest, ctx: RequestContext[Any, Any], /
     ) -> StatusResponse:
-        """Tell the state as this process knows it."""
+        """Return the state as this process knows it."""
         await self.planner.observe()
         fleet = self.replica.fleet
         silent_s = min(self.replica.store.platform.silent_s(), 2**31)
@@ -118,14 +121,16 @@
         )
 
     async def drain(self, request: DrainRequest, ctx: RequestContext[Any, Any], /) -> DrainResponse:
-        """Take one instance out of service, or back into it."""
+        """Drain one instance, or return it to service."""
 
         def build(fleet: Fleet) -> Record | None:
             assignment = fleet.assignments.get(InstanceId(request.instance))
             if assignment is None:
                 text = f"instance: no such instance {request.instance!r}"
                 raise ConnectError(Code.NOT_FOUND, text)
-            changed = resumed(assignment) if request.resume else drained(assignment)
+            changed = (
+                resume_assignment(assignment) if request.resume else drain_assignment(assignment)
+            )
             if changed is None:
                 return None
             if not request.resume:
@@ -153,7 +158,7 @@
 
         def build(fleet: Fleet) -> Record | None:
             nonlocal progress
-            progress = next_progress(fleet, request)
+            progress = apply_wave_action(fleet, request)
             return Record(author=author_of(ctx), waves=[progress])
 
         revision = await self._append(build)
@@ -169,8 +174,8 @@
         if member is None:
             raise ConnectError(Code.NOT_FOUND, f"process: no such process {request.process!r}")
         try:
-            ask = PeerRequest(dump=DumpRequest())
-            reply = await self.peers.ask(member.peer_address, ask)
+            peer_request = PeerRequest(dump=DumpRequest())
+            reply = await self.peers.ask(member.peer_address, peer_request)
         except pynng.NNGException as failure:
             text = f"process: {request.process} does not answer: {failure}"
             raise ConnectError(Code.UNAVAILABLE, text) from failure
@@ -186,15 +191,15 @@
             case Result(error=Uncertain(token=token)):
                 text = f"the table service's answer was lost; the change may hold (token {token})"
                 raise ConnectError(Code.UNKNOWN, text)
-            case Result(error=fault):
-                raise ConnectError(Code.UNAVAILABLE, f"nothing was changed: {fault}")
+            case Result(error=error):
+                raise ConnectError(Code.UNAVAILABLE, f"nothing was changed: {error}")
 
 
 def operators_app(service: OperatorService) -> OperatorsASGIApplication:
-    """Return the ASGI application of the operators' calls."""
-    return OperatorsASGIApplication(service, read_max_bytes=MAX_CALL_BYTES)
+    """Return the ASGI application that serves operators."""
+    return OperatorsASGIApplication(service, read_max_bytes=MAX_REQUEST_BYTES)
 
 
 def author_of(ctx: RequestContext[Any, Any]) -> str:
-    """Return who makes a call."""
+    """Return the operator who makes a call, to be recorded as the author of its changes."""
     return ctx.request_headers.get(OPERATOR_HEADER) or ANONYMOUS
--- a/pumicespur/operators/_status.py
+++ b/pumicespur/operators/_status.py
@@ -1,4 +1,4 @@
-"""Figures for operators: each pool's availability, budget and buffer."""
+"""Status of pools for operators: availability, budget and buffer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def measure_pools(fleet: Fleet, listed: Mapping[str, ListedInstance]) -> list[PoolStatus]:
-    """Return each pool's figures by the platform's list."""
+    """Return the status of each pool, with availability according to the platform's list."""
     availability = Availability(fleet, listed)
     return [
         PoolStatus(
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -10,7 +10,7 @@
 
 from logbook import Logger
 
-from pumicespur.commands.explain import about, read_lines
+from pumicespur.commands.explain import read_lines, select_lines
 from pumicespur.store import AnswerTimes
 from pumicespur.utils._event_log import MAX_WAITING_LINES, EventHandler
 
@@ -78,7 +78,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "log"
             path.write_text("not a line\n{broken\n" + "\n".join(map(json.dumps, rows)))
-            found = about("j", list(read_lines(path)))
+            found = select_lines("j", list(read_lines(path)))
         self.assertEqual([1.0, 2.0, 3.0], [line.time for line in found])
 
 
