--- a/pumicespur/__main__.py
+++ b/pumicespur/__main__.py
@@ -39,16 +39,16 @@
 TLS_CERTIFICATE_HELP = "Your certificate, if managers ask for one."
 TLS_KEY_HELP = "The private key of your certificate."
 JSON_HELP = "Print JSON for a script."
-BASE_HELP = "The revision your files were last in line with; the newest if left out."
-PRUNE_HELP = "Remove the sections that the files do not have."
+BASE_HELP = "The revision that your files are based on; the newest if left out."
+PRUNE_HELP = "Remove the declared sections that are not in the files."
 INSTANCE_HELP = "The instance."
-RESUME_HELP = "Take the instance back into service."
+RESUME_HELP = "Return the instance to service."
 WAVE_HELP = "The wave."
 WATCH_HELP = "Print the wave's progress until it no longer runs."
 WANTED_HELP = "Id of a job, a task, a worker or a pool."
 LOGS_HELP = "Log files of any number of processes."
 JOB_HELP = "Id of a job on a hosted platform."
-NODE_HELP = "URL of any node's metrics address."
+NODE_HELP = "URL of the metrics address of any node."
 PROCESS_HELP = "The process; the manager itself if left out."
 
 Settings = Annotated[Path, Parameter(help=SETTINGS_HELP)]
@@ -67,9 +67,9 @@
 ProcessName = Annotated[str, Parameter(help=PROCESS_HELP)]
 
 EXIT_CODES = """
-Exit codes: 0 done, 1 refused, 2 faulty settings, declarations or arguments,
-3 conflict with another operator, 4 no answer (the change may hold; look at status),
-70 a fault of the program itself, with a traceback.
+Exit codes: 0 success, 1 refused, 2 invalid settings, declarations or arguments,
+3 conflict with another operator, 4 no response (the change may have taken effect; check with
+status), 70 internal error, with a traceback.
 """
 
 
@@ -93,23 +93,23 @@
     )
 
     def client(self) -> OperatorClient:
-        """Make the client of the operators' calls."""
+        """Return a client of this manager."""
         tls = ClientTls(self.tls_authority, self.tls_certificate, self.tls_key)
         return OperatorClient(self.manager, self.operator or getpass.getuser(), tls)
 
 
-LOCAL = Connection()
+DEFAULT_CONNECTION = Connection()
 
 app = App(name="pumicespur", help=__doc__, version=__version__, help_epilogue=EXIT_CODES)
-check = App(name="check", help="Check files without touching anything.")
-wave = App(name="wave", help="Act on a maintenance wave.")
+check = App(name="check", help="Check files without contacting a manager.")
+wave = App(name="wave", help="Control a maintenance wave.")
 app.command(check)
 app.command(wave)
 
 
 @app.command
 def entry(settings: Settings) -> None:
-    """Run the entry role: take callers' requests.
+    """Run the entry role: route callers' requests.
 
     Example: pumicespur entry entry.ini
     """
@@ -118,7 +118,7 @@
 
 @app.command
 def manager(settings: Settings) -> None:
-    """Run the manager role: answer operators and plan.
+    """Run the manager role: serve operators and plan.
 
     Example: pumicespur manager manager.ini
     """
@@ -127,7 +127,7 @@
 
 @app.command
 def node(settings: Settings) -> None:
-    """Run the role node: serve callers and own pools on a hosted platform.
+    """Run the node role: serve callers and own pools on a hosted platform.
 
     Example: pumicespur node node.ini
     """
@@ -136,7 +136,7 @@
 
 @app.command
 def explain(wanted: Wanted, files: Logs, *, json: Json = False) -> None:
-    """Put the log lines of several processes about one id in order.
+    """Print the log lines of several processes about one id, in order of time.
 
     Example: pumicespur explain 5c0e7a21d94b36f8 node-1.log node-2.log
     """
@@ -168,7 +168,7 @@
     base: Base = None,
     prune: Prune = False,
     json: Json = False,
-    connection: Connection = LOCAL,
+    connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
     """Show what applying the files would change; nothing is changed.
 
@@ -185,9 +185,9 @@
     base: Base = None,
     prune: Prune = False,
     json: Json = False,
-    connection: Connection = LOCAL,
+    connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
-    """Bring the declared sections in line with the files.
+    """Change the declared sections to match the files.
 
     Example: pumicespur apply pools.ini waves.ini --base 41
     """
@@ -201,7 +201,7 @@
     job: WantedJob = "",
     node: NodeUrl = "",
     json: Json = False,
-    connection: Connection = LOCAL,
+    connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
     """Show the state of pools, waves and processes, or of one job and why it failed.
 
@@ -210,7 +210,9 @@
     Example: pumicespur status --job 5c0e7a21d94b36f8 --node http://10.1.0.9:9464
     """
     if bool(job) != bool(node):
-        raise PumicespurError("--job and --node go together: any node tells of any job")
+        raise PumicespurError(
+            "--job and --node must be given together; any node can report any job"
+        )
     if job:
         await status_command.job_status(node, job, as_json=json)
         return
@@ -223,9 +225,9 @@
     *,
     resume: Resume = False,
     json: Json = False,
-    connection: Connection = LOCAL,
+    connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
-    """Take one instance out of service, or back into it.
+    """Drain one instance, or return it to service.
 
     Example: pumicespur drain regina-a-r1-1
     """
@@ -238,7 +240,7 @@
     *,
     watch: Watch = False,
     json: Json = False,
-    connection: Connection = LOCAL,
+    connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
     """Start a declared wave.
 
@@ -249,8 +251,10 @@
 
 
 @wave.command
-async def pause(name: WaveName, *, json: Json = False, connection: Connection = LOCAL) -> None:
-    """Start no more instances of a wave; those under way finish.
+async def pause(
+    name: WaveName, *, json: Json = False, connection: Connection = DEFAULT_CONNECTION
+) -> None:
+    """Start maintenance of no more instances; those in progress finish.
 
     Example: pumicespur wave pause kernel-update
     """
@@ -264,9 +268,9 @@
     *,
     watch: Watch = False,
     json: Json = False,
-    connection: Connection = LOCAL,
+    connection: Connection = DEFAULT_CONNECTION,
 ) -> None:
-    """Go on with a paused or halted wave; failed instances are tried again.
+    """Continue a paused or halted wave; failed instances are retried.
 
     Example: pumicespur wave resume kernel-update
     """
@@ -275,8 +279,10 @@
 
 
 @wave.command
-async def abort(name: WaveName, *, json: Json = False, connection: Connection = LOCAL) -> None:
-    """End a wave; instances under way finish.
+async def abort(
+    name: WaveName, *, json: Json = False, connection: Connection = DEFAULT_CONNECTION
+) -> None:
+    """End a wave; instances in progress finish.
 
     Example: pumicespur wave abort kernel-update
     """
@@ -285,8 +291,8 @@
 
 
 @app.command
-async def dump(process: ProcessName = "", *, connection: Connection = LOCAL) -> None:
-    """Print the state of a process as JSON.
+async def dump(process: ProcessName = "", *, connection: Connection = DEFAULT_CONNECTION) -> None:
+    """Print the state dump of a process as JSON.
 
     Example: pumicespur dump entry-1
     """
@@ -296,9 +302,9 @@
 def main() -> None:
     """Run a command and end the process with its exit code.
 
-    The process ends without the interpreter's clean-up. The HTTP client of the generated
-    calls has threads of its own, and one that wakes up during the clean-up ends the process
-    with SIGABRT instead of the exit code.
+    The process ends without the interpreter's cleanup. The HTTP client of the generated stubs
+    has threads of its own, and one that wakes up during the cleanup ends the process with
+    SIGABRT instead of the exit code.
     """
     code = execute()
     sys.stdout.flush()
@@ -307,7 +313,7 @@
 
 
 def execute() -> int:
-    """Run a command; print an expected failure as one line for each finding."""
+    """Run a command and return its exit code; print expected failures without a traceback."""
     try:
         app()
     except ConfigurationError as failure:
--- a/pumicespur/commands/apply.py
+++ b/pumicespur/commands/apply.py
@@ -1,4 +1,4 @@
-"""Bring the declared sections in line with files, or show what that would change."""
+"""Change the declared sections to match files, or show what that would change."""
 
 from __future__ import annotations
 
--- a/pumicespur/config/_declarations.py
+++ b/pumicespur/config/_declarations.py
@@ -24,44 +24,44 @@
 
 
 def load_declaration(paths: Iterable[Path]) -> tuple[Declaration, list[Finding]]:
-    """Read declaration files as one; raise ConfigurationError with all findings on an error.
+    """Read files as one declaration; raise ConfigurationError with all findings on an error.
 
     A section is named by its kind and its id, as in `[pool issuance]`. The returned
-    findings are warnings.
+    findings are all warnings.
     """
     declaration = Declaration()
     findings: list[Finding] = []
-    places: dict[str, IniSection] = {}
+    read_sections: dict[str, IniSection] = {}
     for path in paths:
         ini = read_ini(path)
         findings += ini.findings
         for section in ini.sections:
-            findings += _read_section(declaration, section, places)
+            findings += _read_section(declaration, section, read_sections)
     for finding in check_declaration(declaration):
-        place = places.get(finding.section)
-        findings.append(place.place(finding) if place else finding)
+        ini_section = read_sections.get(finding.section)
+        findings.append(ini_section.locate(finding) if ini_section else finding)
     if has_errors(findings):
         raise ConfigurationError(findings)
     return declaration, findings
 
 
 def _read_section(
-    declaration: Declaration, section: IniSection, places: dict[str, IniSection]
+    declaration: Declaration, section: IniSection, read_sections: dict[str, IniSection]
 ) -> list[Finding]:
     kind, _, name = section.name.partition(" ")
-    if section.name in places:
-        first = places[section.name]
-        message = f"is declared before, in {first.file}:{first.line}"
-        return [section.place(error("", "", message))]
-    message_or_none = _add_message(declaration, kind, name.strip())
-    if message_or_none is None:
+    if section.name in read_sections:
+        first = read_sections[section.name]
+        text = f"is already declared in {first.file}:{first.line}"
+        return [section.locate(error("", "", text))]
+    message = _append_section(declaration, kind, name.strip())
+    if message is None:
         text = "a section is [pool ID], [job ID], [team ID] or [wave ID]"
-        return [section.place(error("", "", text))]
-    places[section.name] = section
-    return fill_message(message_or_none, section, skip=ID_FIELD)
+        return [section.locate(error("", "", text))]
+    read_sections[section.name] = section
+    return fill_message(message, section, skip=ID_FIELD)
 
 
-def _add_message(declaration: Declaration, kind: str, name: str) -> Message[Any] | None:
+def _append_section(declaration: Declaration, kind: str, name: str) -> Message[Any] | None:
     match kind:
         case "pool":
             declaration.pools.append(Pool(id=name))
--- a/pumicespur/config/_findings.py
+++ b/pumicespur/config/_findings.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong in a file or a declaration, with its place."""
+"""Findings: errors and warnings about a file or a declaration, with their position."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 def error(section: str, key: str, message: str) -> Finding:
-    """Make a finding that stops the work."""
+    """Return a finding that makes a file or declaration invalid."""
     return Finding(severity=Severity.ERROR, section=section, key=key, message=message)
 
 
 def warning(section: str, key: str, message: str) -> Finding:
-    """Make a finding that is only told."""
+    """Return a finding that is reported without making anything invalid."""
     return Finding(severity=Severity.WARNING, section=section, key=key, message=message)
 
 
 def has_errors(findings: Iterable[Finding]) -> bool:
-    """Tell whether any finding stops the work."""
+    """Return whether any finding is an error."""
     return any(finding.severity is Severity.ERROR for finding in findings)
 
 
 def format_finding(finding: Finding) -> str:
-    """Write a finding as `file:line: [section] key: error: message`."""
-    place = finding.file or "declaration"
+    """Return a finding as `file:line: [section] key: error: message`."""
+    position = finding.file or "declaration"
     if finding.line:
-        place += f":{finding.line}"
+        position += f":{finding.line}"
     if finding.section:
-        place += f": [{finding.section}]"
+        position += f": [{finding.section}]"
     if finding.key:
-        place += f" {finding.key}"
-    return f"{place}: {finding.severity.name.lower()}: {finding.message}"
+        position += f" {finding.key}"
+    return f"{position}: {finding.severity.name.lower()}: {finding.message}"
--- a/pumicespur/config/_ini.py
+++ b/pumicespur/config/_ini.py
@@ -1,4 +1,4 @@
-"""INI files with the line of each section and key."""
+"""INI files, read with the line numbers of sections and keys."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class IniSection:
-    """One section: its values by key, and the line of each key."""
+    """One section: the value and the line of each key."""
 
     file: str
     name: str
@@ -28,8 +28,8 @@
     values: dict[str, str] = field(default_factory=dict)
     lines: dict[str, int] = field(default_factory=dict)
 
-    def place(self, finding: Finding) -> Finding:
-        """Fill in the file and the line of a finding about this section."""
+    def locate(self, finding: Finding) -> Finding:
+        """Set the file, section and line of a finding about this section, and return it."""
         finding.file = self.file
         finding.section = self.name
         finding.line = self.lines.get(finding.key, self.line)
@@ -38,14 +38,14 @@
 
 @dataclass
 class IniFile:
-    """The sections of a file in their order, and what could not be read."""
+    """The sections of a file in order, and findings about what could not be read."""
 
     sections: list[IniSection]
     findings: list[Finding]
 
 
 def read_ini(path: Path) -> IniFile:
-    """Read an INI file; findings tell what could not be read."""
+    """Read an INI file; errors become findings and are not raised."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as failure:
@@ -56,17 +56,19 @@
     except configparser.MissingSectionHeaderError as failure:
         return IniFile([], [_file_finding(path, failure.lineno, "no section starts above")])
     except configparser.ParsingError as failure:
-        findings = [_file_finding(path, line, f"not INI: {what}") for line, what in failure.errors]
+        findings = [
+            _file_finding(path, line, f"not INI: {source}") for line, source in failure.errors
+        ]
         return IniFile([], findings)
     except (configparser.DuplicateSectionError, configparser.DuplicateOptionError) as failure:
         return IniFile([], [_file_finding(path, failure.lineno or 0, failure.message)])
     except configparser.Error as failure:
         line = getattr(failure, "lineno", 0)
         return IniFile([], [_file_finding(path, line, failure.message)])
-    return IniFile(_sections(path, parser, text), [])
+    return IniFile(_build_sections(path, parser, text), [])
 
 
-def _sections(path: Path, parser: configparser.ConfigParser, text: str) -> list[IniSection]:
+def _build_sections(path: Path, parser: configparser.ConfigParser, text: str) -> list[IniSection]:
     sections = {name: IniSection(str(path), name, 0, dict(parser[name])) for name in parser if name}
     current: IniSection | None = None
     for number, line in enumerate(text.splitlines(), start=1):
--- a/pumicespur/config/_node_settings.py
+++ b/pumicespur/config/_node_settings.py
@@ -37,7 +37,7 @@
 
     @property
     def capacity(self) -> float:
-        """Return the processor time of the process, in cores of the smallest instance."""
+        """Return the CPU capacity of the process, in cores of the smallest instance."""
         return self.process.cpu_share * self.process.cpu_speed
 
     def sections(self) -> dict[str, Message[Any]]:
@@ -61,7 +61,7 @@
     for section in ini.sections:
         if section.name not in known:
             text = f"no such section; known are {', '.join(known)}"
-            findings.append(section.place(error("", "", text)))
+            findings.append(section.locate(error("", "", text)))
     if not ini.findings:
         for name, message in known.items():
             findings += fill_message(message, present.get(name, IniSection(str(path), name, 0)))
--- a/pumicespur/config/_options.py
+++ b/pumicespur/config/_options.py
@@ -1,4 +1,4 @@
-"""Turn a section's text values into a schema message, finding every fault on the way."""
+"""Parsing of a section's text values into the fields of a schema message."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 class OptionError(ValueError):
-    """A value that an option can't take; the message says what it takes."""
+    """A value that an option does not accept; the message says what it accepts."""
 
 
 def option_of(field: DescField) -> Option:
-    """Return how a setting is checked, as its schema field declares it."""
+    """Return the default and the checks of a setting, as its schema field declares them."""
     options = field.proto.options
     if options is None or ext_option not in options:
         return Option()
@@ -45,24 +45,25 @@
 def fill_message(
     message: Message[Any], section: IniSection, *, skip: frozenset[str] = frozenset()
 ) -> list[Finding]:
-    """Set the fields of `message` from `section`, with defaults; return findings with places.
+    """Set the fields of `message` from `section`, with defaults; return findings with their position.
 
-    Fields of a nested message (an amount of resources) are keys of the same section.
+    Fields of a nested message, such as an amount of resources, are keys of the same section.
     """
     fields = _flat_fields(message, skip)
     findings = _unknown_keys(section, fields)
     for name, (owner, field) in fields.items():
         option = option_of(field)
-        # A platform that lacks a value fills its template in with an empty text.
+        # An empty value counts as not set: a platform that renders the file from a template
+        # writes an empty text where it has no value.
         text = section.values.get(name) or option.default
         if not text:
             if option.required:
-                findings.append(section.place(error(section.name, name, "is required")))
+                findings.append(section.locate(error(section.name, name, "is required")))
             continue
         try:
             setattr(owner, field.local_name, _parse(field, option, text))
         except OptionError as failure:
-            findings.append(section.place(error(section.name, name, str(failure))))
+            findings.append(section.locate(error(section.name, name, str(failure))))
     return findings
 
 
@@ -91,7 +92,7 @@
             continue
         nearest = difflib.get_close_matches(key, known, n=1)
         hint = f"; did you mean {nearest[0]!r}?" if nearest else ""
-        findings.append(section.place(error(section.name, key, f"is not a known key{hint}")))
+        findings.append(section.locate(error(section.name, key, f"is not a known key{hint}")))
     return findings
 
 
--- a/pumicespur/config/_reference.py
+++ b/pumicespur/config/_reference.py
@@ -1,4 +1,4 @@
-"""The reference page of all settings, written from the schema."""
+"""The reference page of all settings, generated from the schema."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
     for name in SECTIONS:
         message = settings.section(name)
         assert message is not None
-        parts += _section(name, message)
+        parts += _format_section(name, message)
     parts.append(NODE_HEAD)
     for name, message in NodeSettings().sections().items():
-        parts += _section(name, message)
+        parts += _format_section(name, message)
     return "\n".join(parts) + "\n"
 
 
-def _section(name: str, message: Message[Any]) -> list[str]:
-    head = f"\n### [{name}]\n\n| key | default | range | meaning |\n| --- | --- | --- | --- |"
-    return [head, *(_row(field) for field in message.desc().fields)]
+def _format_section(name: str, message: Message[Any]) -> list[str]:
+    table_head = f"\n### [{name}]\n\n| key | default | range | meaning |\n| --- | --- | --- | --- |"
+    return [table_head, *(_format_row(field) for field in message.desc().fields)]
 
 
-def _row(field: DescField) -> str:
+def _format_row(field: DescField) -> str:
     option = option_of(field)
     default = "required" if option.required else option.default or "empty"
     limits = f"{option.min:g} to {option.max:g}" if option.max else ""
--- a/pumicespur/config/_settings.py
+++ b/pumicespur/config/_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process, read from an INI file."""
+"""The settings of one process of the roles `entry` or `manager`, read from an INI file."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def load_settings(path: Path, role: Role | None = None) -> tuple[Settings, list[Finding]]:
     """Read a settings file; raise ConfigurationError with all findings if any is an error.
 
-    With a role, only that role's section is required. The returned findings are warnings.
+    With a role, only that role's section is required. The returned findings are all warnings.
     """
     settings = Settings()
     ini = read_ini(path)
@@ -59,9 +59,9 @@
     for section in ini.sections:
         if settings.section(section.name) is None:
             known = "process, platform, entry, manager"
-            findings.append(section.place(error("", "", f"no such section; known are {known}")))
+            findings.append(section.locate(error("", "", f"no such section; known are {known}")))
     if not ini.findings:
-        for name in _needed_sections(role, sections):
+        for name in _select_sections(role, sections):
             section = sections.get(name, IniSection(str(path), name, 0))
             message = settings.section(name)
             assert message is not None
@@ -72,12 +72,12 @@
     return settings, findings
 
 
-def _needed_sections(role: Role | None, present: dict[str, IniSection]) -> list[str]:
-    needed = ["process", "platform"]
+def _select_sections(role: Role | None, present: dict[str, IniSection]) -> list[str]:
+    selected = ["process", "platform"]
     roles = ["entry", "manager"]
     if role is not None:
-        return [*needed, role.name.lower()]
-    return needed + [name for name in roles if name in present]
+        return [*selected, role.name.lower()]
+    return selected + [name for name in roles if name in present]
 
 
 def _check_log_level(settings: Settings, sections: dict[str, IniSection]) -> list[Finding]:
@@ -85,4 +85,4 @@
     if "process" not in sections or level in LOG_LEVELS:
         return []
     finding = error("process", "log_level", f"takes one of {', '.join(LOG_LEVELS)}, not {level!r}")
-    return [sections["process"].place(finding)]
+    return [sections["process"].locate(finding)]
--- a/pumicespur/structure/__init__.py
+++ b/pumicespur/structure/__init__.py
@@ -1,4 +1,4 @@
-"""What the system knows of the fleet: ids, the folded log and the checks on declarations."""
+"""The state of the fleet: ids, the state folded from the log, and the checks on declarations."""
 
 from __future__ import annotations
 
--- a/pumicespur/structure/_checks.py
+++ b/pumicespur/structure/_checks.py
@@ -1,4 +1,4 @@
-"""Checks on a declaration as a whole; the same for files and for operator calls."""
+"""Checks on a whole declaration; the same for files and for calls of operators."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
     from pumicespur.schema.fleet_pb import Declaration, Job, Pool, Team, Wave
 
-NAME = re.compile(r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")
+SECTION_ID = re.compile(r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")
 MAX_POOL_SIZE = 100_000
 MAX_TASKS = 100_000
-MINUTES_A_DAY = 24 * 60
-ROUNDING = 1e-9
+MINUTES_PER_DAY = 24 * 60
+ROUNDING_TOLERANCE = 1e-9
+"""Absorbs floating-point errors, such as 100 * 0.07 = 7.000000000000001, before rounding up."""
 
 
 def minimum_available(pool: Pool) -> int:
@@ -28,12 +29,12 @@
     A share is rounded up, so that the budget never asks for less than was declared.
     """
     if pool.min_available_share:
-        return math.ceil(pool.size * pool.min_available_share - ROUNDING)
+        return math.ceil(pool.size * pool.min_available_share - ROUNDING_TOLERANCE)
     return pool.min_available
 
 
 def check_declaration(declaration: Declaration) -> list[Finding]:
-    """Find every fault of a declaration; an empty list means that it can be accepted."""
+    """Return the findings on a declaration; it can be accepted if none is an error."""
     findings: list[Finding] = []
     pools = {pool.id for pool in declaration.pools}
     teams = {team.id for team in declaration.teams}
@@ -53,7 +54,7 @@
 
 
 def _check_name(kind: str, name: str) -> Iterator[Finding]:
-    if not NAME.match(name):
+    if not SECTION_ID.match(name):
         text = "takes lower-case letters, digits, dots and dashes, 63 at most"
         yield _finding(f"{kind} {name}", "", f"the name {name!r} {text}")
 
@@ -65,8 +66,8 @@
         yield _finding(section, key, f"takes {low:g} to {high:g}, not {value:g}")
 
 
-def _check_needs(section: str, needs: Resources | None) -> Iterator[Finding]:
-    amounts = needs or Resources()
+def _check_resources(section: str, resources: Resources | None) -> Iterator[Finding]:
+    amounts = resources or Resources()
     for key in ("millicores", "memory_mb", "accelerators"):
         yield from _check_range(section, key, getattr(amounts, key), 0, 2**31 - 1)
 
@@ -79,7 +80,7 @@
     yield from _check_range(section, "size", pool.size, 0, MAX_POOL_SIZE)
     yield from _check_range(section, "min_available", pool.min_available, 0, MAX_POOL_SIZE)
     yield from _check_range(section, "min_available_share", pool.min_available_share, 0, 1)
-    yield from _check_needs(section, pool.needs)
+    yield from _check_resources(section, pool.needs)
     if pool.min_available and pool.min_available_share:
         yield _finding(section, "min_available_share", "takes 0 when min_available is given")
     if pool.min_available > pool.size:
@@ -93,7 +94,7 @@
     section = f"job {job.id}"
     yield from _check_name("job", job.id)
     yield from _check_range(section, "tasks", job.tasks, 0, MAX_TASKS)
-    yield from _check_needs(section, job.needs)
+    yield from _check_resources(section, job.needs)
     if job.pool not in pools:
         yield _finding(section, "pool", f"names no declared pool: {job.pool!r}")
     if job.team and job.team not in teams:
@@ -113,9 +114,11 @@
     yield from _check_range(section, "max_parallel", wave.max_parallel, 1, MAX_POOL_SIZE)
     yield from _check_range(section, "halt_share", wave.halt_share, 0, 1)
     yield from _check_range(section, "attempts", wave.attempts, 1, 10)
-    last = MINUTES_A_DAY - 1
-    yield from _check_range(section, "window_start_minute", wave.window_start_minute, 0, last)
-    yield from _check_range(section, "window_end_minute", wave.window_end_minute, 0, last)
+    last_minute = MINUTES_PER_DAY - 1
+    yield from _check_range(
+        section, "window_start_minute", wave.window_start_minute, 0, last_minute
+    )
+    yield from _check_range(section, "window_end_minute", wave.window_end_minute, 0, last_minute)
     if not wave.pools:
         yield _finding(section, "pools", "names no pool")
     for pool in wave.pools:
--- a/pumicespur/structure/_fleet.py
+++ b/pumicespur/structure/_fleet.py
@@ -32,12 +32,12 @@
 
 
 class RevisionGapError(Exception):
-    """A record that does not follow the state's revision."""
+    """A record whose revision is not the one after the state's."""
 
 
 @dataclass
 class Fleet:
-    """All that is declared and decided, up to one revision of the log.
+    """All declarations and decisions, up to one revision of the log.
 
     Every process folds the same records in the same order, so two processes at the same
     revision have the same state.
@@ -54,7 +54,7 @@
     changes: dict[SectionName, SectionChange] = field(default_factory=dict)
 
     def apply(self, record: Record) -> None:
-        """Fold in the next record; raise RevisionGapError for any other."""
+        """Apply the next record; raise RevisionGapError for any other."""
         if record.revision != self.revision + 1:
             raise RevisionGapError(f"record {record.revision} at revision {self.revision}")
         self.revision = record.revision
@@ -87,7 +87,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot) -> Fleet:
-        """Rebuild the state that `snapshot()` wrote."""
+        """Restore the state that `snapshot()` returned."""
         fleet = cls(revision=snapshot.revision)
         fleet._put(snapshot.declaration or Declaration())
         fleet._replace_rows(snapshot.assignments, snapshot.placements, snapshot.waves)
@@ -97,8 +97,8 @@
     def _note_changes(self, record: Record) -> None:
         put = record.put or Declaration()
         removals = record.removals or Removals()
-        touched = list(sections_of(put)) + removed_sections(removals)
-        if not touched:
+        named = list(sections_of(put)) + removed_sections(removals)
+        if not named:
             return
         for name in changed_sections(self.declaration(), put, removals):
             self.changes[name] = SectionChange(
