--- a/pumicespur/__main__.py
+++ b/pumicespur/__main__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Command line of Pumicespur, a manager of fleet capacity and maintenance."""
 
 from __future__ import annotations
 
@@ -254,7 +254,7 @@
 async def pause(
     name: WaveName, *, json: Json = False, connection: Connection = DEFAULT_CONNECTION
 ) -> None:
-    """Start maintenance of no more instances; those in progress finish.
+    """Pause a wave; instances in progress finish, no others are started.
 
     Example: pumicespur wave pause kernel-update
     """
--- a/pumicespur/config/_options.py
+++ b/pumicespur/config/_options.py
@@ -45,7 +45,7 @@
 def fill_message(
     message: Message[Any], section: IniSection, *, skip: frozenset[str] = frozenset()
 ) -> list[Finding]:
-    """Set the fields of `message` from `section`, with defaults; return findings with their position.
+    """Set the fields of `message` from `section`, with defaults; return findings with positions.
 
     Fields of a nested message, such as an amount of resources, are keys of the same section.
     """
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests; run them all with `make unit`."""
+"""Tests; `make unit` runs them all."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from pumicespur.utils import SteadyEventLoop
 
 
-class SteadyPolicy(asyncio.DefaultEventLoopPolicy):
-    """Gives the tests the program's event loop, whose clock is the program's own."""
+class SteadyEventLoopPolicy(asyncio.DefaultEventLoopPolicy):
+    """Event loop policy that gives tests the program's own event loop, with its clock."""
 
     _loop_factory = SteadyEventLoop
 
 
-asyncio.set_event_loop_policy(SteadyPolicy())
+asyncio.set_event_loop_policy(SteadyEventLoopPolicy())
 
-# A drawn test judges what it draws, never how fast: the first draw in a fresh checkout reads all
-# sources, which takes seconds on a busy machine.
+# Property-based tests have no time limits: the first example in a fresh checkout reads all sources,
+# which takes seconds on a busy machine.
 settings.register_profile("untimed", deadline=None, suppress_health_check=[HealthCheck.too_slow])
 settings.load_profile("untimed")
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Run every test and close with a line that counts them."""
+"""Run the tests and print a final line with the counts."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 MAX_KNOWN_RED = 3
 
 
-def known_red() -> set[str]:
-    """Return the tests that are known to fail for a fault not mended yet."""
+def known_failures() -> set[str]:
+    """Return the ids of tests that are known to fail because of a fault not fixed yet."""
     if not KNOWN_RED.exists():
         return set()
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -29,7 +29,7 @@
     )
     result = unittest.TextTestRunner(verbosity=1).run(suite)
     failed = {test.id() for test, _ in [*result.failures, *result.errors]}
-    listed = known_red()
+    listed = known_failures()
     for name in sorted(failed & listed):
         print(f"known red: {name}")
     unexpected = failed - listed
--- a/tests/schema_check.py
+++ b/tests/schema_check.py
@@ -1,4 +1,4 @@
-"""Check that the committed generated code is what the schema gives."""
+"""Check that the committed generated code and settings page match the schema."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Generate into a scratch folder and compare; return the exit status."""
+    """Generate into a temporary folder and compare; return the exit status."""
     protos = [str(path.name) for path in sorted((ROOT / "schema").glob("*.proto"))]
     shipped = [name for name in protos if name != "standins.proto"]
     with tempfile.TemporaryDirectory() as folder:
@@ -31,7 +31,7 @@
     if page.read_text() != settings_reference():
         stale.append(page.name)
     for name in stale:
-        print(f"schema: {name} is not what the schema gives; run `make schema`")
+        print(f"schema: {name} does not match the schema; run `make schema`")
     return 1 if stale else 0
 
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the command line against real processes, and of the one file that ships."""
+"""Tests of the command line against real processes, and of the shipped archive."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 async def run(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
-    """Run a command of the program."""
+    """Run a command of the program and return its output and exit code."""
     command = [sys.executable, "-m", "pumicespur", *arguments]
-    done = await anyio.run_process(command, check=False, env=os.environ | environment)
-    out, err = done.stdout.decode(), done.stderr.decode()
-    return subprocess.CompletedProcess(command, done.returncode, out, err)
+    result = await anyio.run_process(command, check=False, env=os.environ | environment)
+    out, err = result.stdout.decode(), result.stderr.decode()
+    return subprocess.CompletedProcess(command, result.returncode, out, err)
 
 
 class TestCommands(ClusterCase):
-    """Commands tell a person what happened and a script its exit code."""
+    """Commands print what happened and return the matching exit code."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -57,19 +57,19 @@
         applied = await run("apply", str(self.file), **self.env)
         self.assertEqual(applied.returncode, 0, applied.stderr)
         self.assertIn("changed [pool draws]", applied.stdout)
-        again = await run("apply", str(self.file), **self.env)
-        self.assertIn("nothing to change", again.stdout)
+        repeated = await run("apply", str(self.file), **self.env)
+        self.assertIn("nothing to change", repeated.stdout)
         self.file.write_text(DECLARATION + "[pool draws]\nsize = 1\n")
-        late = await run("apply", str(self.file), "--base", str(base), **self.env)
-        self.assertEqual(late.returncode, 3)
-        self.assertRegex(late.stderr, r"\[pool draws\] was changed by ann at revision \d+")
-        self.assertNotIn("Traceback", late.stderr)
+        conflicting = await run("apply", str(self.file), "--base", str(base), **self.env)
+        self.assertEqual(conflicting.returncode, 3)
+        self.assertRegex(conflicting.stderr, r"\[pool draws\] was changed by ann at revision \d+")
+        self.assertNotIn("Traceback", conflicting.stderr)
         self.file.write_text(DECLARATION)
         pruned = await run("apply", str(self.file), "--prune", "--json", **self.env)
         changed = json.loads(pruned.stdout)["changed"]
         self.assertEqual(sorted(changed), ["pool draws", "wave wave"])
 
-    async def test_faulty_files_are_told_and_change_nothing(self) -> None:
+    async def test_invalid_files_are_reported_and_change_nothing(self) -> None:
         base = (await self.status()).revision
         self.file.write_text("[pool a]\nsize = x\n[pool b]\nmin_available = 3\n")
         done = await run("apply", str(self.file), **self.env)
@@ -91,22 +91,22 @@
         dump = await run("dump", "entry-0", **self.env)
         self.assertEqual(json.loads(dump.stdout)["addresses"]["process"], "entry-0")
 
-    async def test_no_manager_is_one_line_and_exit_code_4(self) -> None:
+    async def test_unreachable_manager_prints_one_line_and_exits_with_4(self) -> None:
         done = await run("status", PUMICESPUR_MANAGER="http://127.0.0.1:1")
         self.assertEqual((done.returncode, done.stdout), (4, ""))
         self.assertEqual(len(done.stderr.splitlines()), 1)
 
-    async def test_a_signal_dumps_the_state_and_the_process_goes_on(self) -> None:
+    async def test_sigusr1_logs_a_state_dump_and_the_process_continues(self) -> None:
         self.entries[0].send_signal(signal.SIGUSR1)
 
-        async def dumped() -> bool:
+        async def is_dumped() -> bool:
             return '"message": "state dump"' in self.launcher.errors()
 
-        await wait_until(dumped, "the dump is in the log")
-        answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-        self.assertEqual(answer.status_code, 200)
+        await wait_until(is_dumped, "the dump is in the log")
+        response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+        self.assertEqual(response.status_code, 200)
 
-    async def test_metrics_name_budgets_and_requests(self) -> None:
+    async def test_metrics_include_budgets_and_requests(self) -> None:
         pages = [
             (await self.http.get(f"{child.admin_url}/metrics")).text
             for child in (self.entries[0], self.managers[0])
@@ -116,7 +116,7 @@
 
 
 class TestTls(ClusterCase):
-    """Operators' calls over TLS, with a certificate from the named authority only."""
+    """Operators' calls over TLS need a client certificate of the configured authority."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -124,8 +124,8 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def make(self, name: str, issuer: str) -> None:
-        """Write a certificate and its key, signed by an issuer made before or by itself."""
+    def write_certificate(self, name: str, issuer: str) -> None:
+        """Write a certificate and its key, signed by an existing issuer or self-signed."""
         key = ec.generate_private_key(ec.SECP256R1())
         now = datetime.datetime.now(datetime.UTC)
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
@@ -158,9 +158,9 @@
     def path(self, name: str) -> str:
         return str(self.folder / name)
 
-    async def test_only_certificates_of_the_authority_are_let_in(self) -> None:
+    async def test_only_certificates_of_the_authority_are_accepted(self) -> None:
         for name, issuer in (("ca", "ca"), ("server", "ca"), ("ann", "ca"), ("eve", "eve")):
-            self.make(name, issuer)
+            self.write_certificate(name, issuer)
         self.platform = self.launcher.start_platform()
         tls = {
             "tls_certificate": self.path("server.pem"),
@@ -186,21 +186,21 @@
                 await client.get(url)
 
 
-class TestShippedFile(ClusterCase):
-    """The one file runs each role as one process."""
+class TestShippedArchive(ClusterCase):
+    """The shipped executable archive runs each role as one process."""
 
     async def test_each_role_runs_without_children(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        built = Path(folder.name) / "pumicespur"
+        archive = Path(folder.name) / "pumicespur"
         command = [str(Path(sys.executable).parent / "shiv"), "--quiet", "--output-file"]
-        command += [str(built), "--entry-point", "pumicespur.__main__:main", str(ROOT)]
+        command += [str(archive), "--entry-point", "pumicespur.__main__:main", str(ROOT)]
         done = await anyio.run_process(command, check=False)
         self.assertEqual(done.returncode, 0, done.stderr.decode()[-2000:])
         self.platform = self.launcher.start_platform()
         for role in ("entry", "manager"):
             with self.subTest(role=role):
-                child = self.start_built(built, role, Path(folder.name) / "unpacked")
+                child = self.start_from_archive(archive, role, Path(folder.name) / "unpacked")
                 children = Path(f"/proc/{child.process.pid}/task/{child.process.pid}/children")
                 self.assertEqual(children.read_text(), "")
                 health = await self.http.get(f"{child.admin_url}/health")
@@ -208,11 +208,11 @@
                 child.send_signal(signal.SIGTERM)
                 self.assertEqual(child.process.wait(20), 0, self.launcher.errors())
 
-    def start_built(self, built: Path, role: str, unpacked: Path) -> Child:
-        """Start a role from the built file, with the settings of a child made before."""
+    def start_from_archive(self, archive: Path, role: str, unpacked: Path) -> Child:
+        """Start a role from the archive, with settings written by the launcher."""
         settings = self.launcher.write_settings(role, f"built-{role}", self.platform, None)
         process = subprocess.Popen(
-            [sys.executable, str(built), role, str(settings)],
+            [sys.executable, str(archive), role, str(settings)],
             stdout=subprocess.PIPE,
             stderr=self.launcher.error_file,
             text=True,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -27,7 +27,7 @@
 
 
 class FileCase(unittest.TestCase):
-    """Tests that write a file first."""
+    """Base class for tests that write a file."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -52,7 +52,7 @@
         self.assertEqual(settings.process.heartbeat_s, 2.0)
         self.assertEqual(warnings, [])
 
-    def test_every_fault_is_told_with_its_place(self) -> None:
+    def test_every_error_is_reported_with_its_position(self) -> None:
         text = GOOD_SETTINGS.replace("listen = 127.0.0.1:0\n[plat", "listen = localhost:1\n[plat")
         text += "max_qeue = 5\nmax_body_bytes = many\nretry_share = 1.5\n[entri]\nx = 1\n"
         with self.assertRaises(ConfigurationError) as caught:
@@ -70,14 +70,14 @@
         self.assertTrue(any("[process] admin_listen" in line for line in found), found)
         self.assertTrue(any("FILE:14: [entri]" in line for line in found), found)
 
-    def test_a_missing_section_names_its_required_keys(self) -> None:
+    def test_missing_section_is_reported_by_its_required_keys(self) -> None:
         with self.assertRaises(ConfigurationError) as caught:
             load_settings(self.write("[process]\nid = a\n"), Role.ENTRY)
         found = self.findings(caught.exception)
         self.assertIn("FILE: [entry] listen: error: is required", found)
         self.assertIn("FILE: [platform] url: error: is required", found)
 
-    def test_what_is_not_ini_is_told_with_its_line(self) -> None:
+    def test_syntax_error_is_reported_with_its_line(self) -> None:
         cases = {
             "[process]\nid\n": "FILE:2",
             "id = 1\n": "FILE:1",
@@ -90,16 +90,16 @@
                     load_settings(self.write(text), Role.ENTRY)
                 self.assertTrue(self.findings(caught.exception)[0].startswith(place))
 
-    def test_a_file_that_is_not_there_is_one_finding(self) -> None:
+    def test_missing_file_is_one_finding(self) -> None:
         with self.assertRaises(ConfigurationError) as caught:
             load_settings(self.path, Role.ENTRY)
         self.assertEqual(len(caught.exception.findings), 1)
 
 
 class TestDeclarations(FileCase):
-    """Declaration files become one checked declaration."""
+    """Declaration files are read into one declaration and checked."""
 
-    def test_the_first_users_examples_are_accepted(self) -> None:
+    def test_example_files_are_accepted(self) -> None:
         files = [EXAMPLES / "coulee.ini", EXAMPLES / "sofia.ini"]
         declaration, warnings = load_declaration(files)
         self.assertEqual(len(declaration.pools), 10)
@@ -107,7 +107,7 @@
         self.assertEqual(declaration.jobs[0].urgency, Urgency.BATCH)
         self.assertEqual(warnings, [])
 
-    def test_every_fault_is_told_with_its_place(self) -> None:
+    def test_every_error_is_reported_with_its_position(self) -> None:
         text = (
             "[pool a]\nsize = 4\nmin_available = 5\n"
             "[pool spare]\nsize = 1\n"
@@ -118,7 +118,7 @@
         with self.assertRaises(ConfigurationError) as caught:
             load_declaration([self.write(text)])
         found = "\n".join(self.findings(caught.exception))
-        for place in (
+        for finding in (
             "FILE:3: [pool a] min_available: error: is above the size, 4",
             "FILE:4: [pool spare]: error: the name is kept",
             "FILE:7: [job x] pool: error: names no declared pool: 'b'",
@@ -128,9 +128,9 @@
             "FILE:12: [wave w] max_parallel: error: takes 1 to 100000, not 0",
             "FILE:14: [pol q]: error: a section is",
         ):
-            self.assertIn(place, found)
+            self.assertIn(finding, found)
 
-    def test_a_budget_without_room_is_a_warning(self) -> None:
+    def test_budget_that_blocks_every_wave_is_a_warning(self) -> None:
         text = "[pool a]\nsize = 4\nmin_available_share = 0.99\n"
         _, warnings = load_declaration([self.write(text)])
         self.assertIn("no wave can ever start", warnings[0].message)
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -1,7 +1,7 @@
-"""Tests of deciding and keeping state on real processes, under failure.
+"""Tests of planning and of replicated state with real processes, under failures.
 
-What is judged comes from the stand-ins' histories (see standins/checker.py), not from the
-system's own view.
+The checks use the stand-ins' histories (see standins/checker.py), not what the system reports
+about itself.
 """
 
 from __future__ import annotations
@@ -37,64 +37,68 @@
 
 
 class WaveCase(ClusterCase):
-    """Tests that run a wave over one pool and judge it in the end."""
+    """Base class for tests that run a wave over one pool and check its history at the end."""
 
     async def start_wave_cluster(self, managers: int = 2, entries: int = 0) -> None:
-        """Start four instances with a budget of three and a wave that is not started."""
+        """Start four instances with a budget of three, and declare a wave without starting it."""
         declaration = one_pool(4, 3, [make_wave("issuance")])
         await self.start_cluster(declaration, backends=4, managers=managers, entries=entries)
 
-    async def act(self, action: WaveAction, operator: OperatorClient | None = None) -> None:
-        """Act on the wave."""
+    async def control_wave(
+        self, action: WaveAction, operator: OperatorClient | None = None
+    ) -> None:
+        """Apply an action to the wave."""
         request = WaveRequest(wave="wave", action=action)
         await (operator or self.operator).control_wave(request)
 
-    async def wait_event(self, kind: str, count: int = 1) -> None:
-        """Wait until the platform has noted so many events of a kind."""
+    async def wait_for_events(self, kind: str, count: int = 1) -> None:
+        """Wait until the platform's history has at least `count` events of a kind."""
 
-        async def seen() -> bool:
+        async def is_reached() -> bool:
             events = (await self.orders.history()).events
             return sum(event.kind == kind for event in events) >= count
 
-        await wait_until(seen, f"{count} of {kind}")
+        await wait_until(is_reached, f"{count} of {kind}")
 
-    async def wait_phase(self, phase: WavePhase, operator: OperatorClient | None = None) -> None:
-        """Wait until the wave is in a phase."""
+    async def wait_for_phase(
+        self, phase: WavePhase, operator: OperatorClient | None = None
+    ) -> None:
+        """Wait until the wave has reached a phase."""
 
-        async def reached() -> bool:
+        async def is_reached() -> bool:
             status = await (operator or self.operator).status()
             return any(progress.phase is phase for progress in status.waves)
 
-        await wait_until(reached, phase.name, 60)
+        await wait_until(is_reached, phase.name, 60)
 
     async def planner(self) -> Child:
         """Return the manager that holds the lease, once all managers name the same one."""
 
-        async def agreed() -> bool:
-            return len(set(await self._named())) == 1
+        async def is_agreed() -> bool:
+            return len(set(await self._planner_names())) == 1
 
-        await wait_until(agreed, "all managers name one planner")
-        name = (await self._named())[0]
+        await wait_until(is_agreed, "all managers name one planner")
+        name = (await self._planner_names())[0]
         return next(manager for manager in self.managers if manager.name == name)
 
-    async def _named(self) -> list[str]:
+    async def _planner_names(self) -> list[str]:
         clients = [OperatorClient(manager.url, "tester") for manager in self.managers]
         return [(await client.status()).planner for client in clients]
 
-    async def other(self, planner: Child) -> OperatorClient:
-        """Return a client of a manager that is not the given one."""
+    async def client_of_other(self, planner: Child) -> OperatorClient:
+        """Return a client of a manager that is not the planner."""
         manager = next(manager for manager in self.managers if manager is not planner)
         return OperatorClient(manager.url, "tester")
 
-    async def assert_promises(self, reboots: int = 4) -> None:
-        """Judge budgets and pools by the stand-ins' histories."""
+    async def assert_guarantees(self, reboots: int = 4) -> None:
+        """Check budgets, pools, reboots and the order of the log by the stand-ins' histories."""
         history = await self.orders.history()
         for pool, seen in lowest_availability(history).items():
             self.assertGreaterEqual(seen.lowest, seen.minimum, pool)
         self.assertEqual(pool_clashes(history), [])
-        done = [event for event in history.events if event.kind == "order-reboot"]
-        self.assertEqual(len(done), reboots)
-        self.assertEqual(len({event.token for event in done}), reboots)
+        reboot_orders = [event for event in history.events if event.kind == "order-reboot"]
+        self.assertEqual(len(reboot_orders), reboots)
+        self.assertEqual(len({event.token for event in reboot_orders}), reboots)
         revisions = [record.revision for record in history.records]
         self.assertEqual(revisions, list(range(1, len(revisions) + 1)))
         epochs = [record.epoch for record in history.records if record.epoch]
@@ -102,198 +106,201 @@
 
 
 class TestPlannerFailures(WaveCase):
-    """Budgets hold when the planner dies or freezes between its steps."""
+    """Budgets hold when the planner is killed or frozen between its steps."""
 
-    async def test_killed_after_each_kind_of_order(self) -> None:
+    async def test_wave_completes_after_planner_is_killed_at_each_step(self) -> None:
         for kind in ("order-drain", "order-reboot", "up"):
             with self.subTest(kind=kind):
                 await self.start_wave_cluster()
                 planner = await self.planner()
-                operator = await self.other(planner)
+                operator = await self.client_of_other(planner)
                 before = 4 if kind == "up" else 0
-                await self.act(WaveAction.START, operator)
-                await self.wait_event(kind, before + 1)
+                await self.control_wave(WaveAction.START, operator)
+                await self.wait_for_events(kind, before + 1)
                 planner.kill()
-                await self.wait_phase(WavePhase.DONE, operator)
-                await self.assert_promises()
+                await self.wait_for_phase(WavePhase.DONE, operator)
+                await self.assert_guarantees()
 
-    async def test_a_frozen_planner_that_wakes_up_changes_nothing(self) -> None:
+    async def test_planner_frozen_past_its_lease_appends_nothing(self) -> None:
         await self.start_wave_cluster()
         planner = await self.planner()
-        operator = await self.other(planner)
-        await self.act(WaveAction.START, operator)
-        await self.wait_event("order-drain")
+        operator = await self.client_of_other(planner)
+        await self.control_wave(WaveAction.START, operator)
+        await self.wait_for_events("order-drain")
         planner.send_signal(signal.SIGSTOP)
-        await self.wait_phase(WavePhase.DONE, operator)
+        await self.wait_for_phase(WavePhase.DONE, operator)
         records = len(await self.orders.records())
         planner.send_signal(signal.SIGCONT)
         name = planner.name
 
-        async def knows() -> bool:
+        async def has_noticed() -> bool:
             dump = planner.describe()["lease"]
             return bool(dump["holder"] != name and not dump["held"])
 
-        await wait_until(knows, "the former planner knows")
+        await wait_until(has_noticed, "the former planner knows that its lease was lost")
         self.assertEqual(len(await self.orders.records()), records)
-        await self.assert_promises()
+        await self.assert_guarantees()
 
-    async def test_two_that_believe_to_plan_are_told_apart_by_the_epoch(self) -> None:
-        """A takeover while the holder is cut off for a moment: only one can append."""
+    async def test_log_stays_consistent_over_repeated_takeovers(self) -> None:
+        """Two processes may consider themselves planner; the epoch lets only one append."""
         await self.start_wave_cluster()
         for _ in range(3):
             planner = await self.planner()
             planner.send_signal(signal.SIGSTOP)
             other = next(manager for manager in self.managers if manager is not planner)
-            await wait_until(lambda other=other: self._holds(other), "a takeover")  # type: ignore[misc]
+            await wait_until(lambda other=other: self._holds_lease(other), "a takeover")  # type: ignore[misc]
             planner.send_signal(signal.SIGCONT)
-        await self.act(WaveAction.START)
-        await self.wait_phase(WavePhase.DONE)
-        await self.assert_promises()
+        await self.control_wave(WaveAction.START)
+        await self.wait_for_phase(WavePhase.DONE)
+        await self.assert_guarantees()
 
     @staticmethod
-    async def _holds(manager: Child) -> bool:
+    async def _holds_lease(manager: Child) -> bool:
         return bool(manager.describe()["lease"]["held"])
 
 
-QUICK_LOSS = {"reboot_timeout_s": "2", "missing_s": "2"}
+SHORT_LOSS_TIMEOUTS = {"reboot_timeout_s": "2", "missing_s": "2"}
 
 
 class TestLosses(WaveCase):
-    """Instances lost together in the middle of a wave."""
+    """Loss of several instances at once in the middle of a wave."""
 
     async def test_a_data_hall_lost_mid_wave_leaves_the_budget(self) -> None:
         pool = make_pool("issuance", 8, 3, FailureDomain.DATA_HALL)
         wave = make_wave("issuance", halt_share=1)
         declaration = Declaration(pools=[pool], waves=[wave])
-        await self.start_cluster(declaration, backends=8, racks=4, manager=QUICK_LOSS)
-        await self.act(WaveAction.START)
-        await self.wait_event("order-reboot", 2)
+        await self.start_cluster(declaration, backends=8, racks=4, manager=SHORT_LOSS_TIMEOUTS)
+        await self.control_wave(WaveAction.START)
+        await self.wait_for_events("order-reboot", 2)
         for backend in self.backends[::2]:
             backend.kill()
 
-        async def dropped() -> bool:
+        async def is_removed() -> bool:
             return len((await self.status()).assignments) == 4
 
-        await wait_until(dropped, "the lost instances are dropped")
-        await self.wait_settled()
+        await wait_until(is_removed, "the lost instances are removed")
+        await self.wait_until_serving()
         drains = self.count("order-drain", (await self.orders.history()).events)
-        await self.wait_round()
+        await self.wait_for_round()
         history = await self.orders.history()
         seen = lowest_availability(history)["issuance"]
         self.assertGreaterEqual(seen.lowest, seen.minimum)
-        # With one hall left its loss would take all, so nothing more may start.
+        # The loss of the one remaining data hall would take every instance, so no further
+        # instance may be drained.
         status = await self.status()
         self.assertIs(status.waves[0].phase, WavePhase.RUNNING)
         self.assertEqual(self.count("order-drain", history.events), drains)
 
-    async def wait_round(self) -> None:
-        """Wait until the planner has decided once more."""
+    async def wait_for_round(self) -> None:
+        """Wait until the planner has completed another round."""
         rounds = self.managers[0].describe()["rounds"]
 
-        async def decided() -> bool:
+        async def is_completed() -> bool:
             return bool(self.managers[0].describe()["rounds"] > rounds)
 
-        await wait_until(decided, "another round")
+        await wait_until(is_completed, "another round")
 
-    async def wait_settled(self) -> None:
-        """Wait until every instance that is left serves."""
+    async def wait_until_serving(self) -> None:
+        """Wait until every remaining instance serves."""
 
-        async def serving() -> bool:
+        async def all_serve() -> bool:
             assignments = (await self.status()).assignments
             return all(a.state is InstanceState.SERVING for a in assignments)
 
-        await wait_until(serving, "all that are left serve")
+        await wait_until(all_serve, "every remaining instance serves")
 
     @staticmethod
     def count(kind: str, events: Sequence[HistoryEvent]) -> int:
-        """Count events of a kind."""
+        """Return the number of events of a kind."""
         return sum(event.kind == kind for event in events)
 
-    async def test_the_planner_dies_as_a_rack_does(self) -> None:
+    async def test_planner_is_killed_while_a_rack_is_lost(self) -> None:
         pool = make_pool("issuance", 8, 3, FailureDomain.RACK)
         wave = make_wave("issuance", halt_share=1)
         declaration = Declaration(pools=[pool], waves=[wave])
-        await self.start_cluster(declaration, backends=8, racks=4, managers=2, manager=QUICK_LOSS)
+        await self.start_cluster(
+            declaration, backends=8, racks=4, managers=2, manager=SHORT_LOSS_TIMEOUTS
+        )
         planner = await self.planner()
-        operator = await self.other(planner)
-        await self.act(WaveAction.START, operator)
-        await self.wait_event("order-drain", 2)
+        operator = await self.client_of_other(planner)
+        await self.control_wave(WaveAction.START, operator)
+        await self.wait_for_events("order-drain", 2)
         planner.kill()
         for backend in self.backends[::4]:
             backend.kill()
-        await self.wait_phase(WavePhase.DONE, operator)
+        await self.wait_for_phase(WavePhase.DONE, operator)
         history = await self.orders.history()
         seen = lowest_availability(history)["issuance"]
         self.assertGreaterEqual(seen.lowest, seen.minimum)
         self.assertEqual(pool_clashes(history), [])
 
-    async def test_a_wave_halts_when_its_instances_do_not_come_back(self) -> None:
-        quick = {"reboot_timeout_s": "1", "missing_s": "600"}
+    async def test_wave_halts_when_rebooted_instances_stay_down(self) -> None:
+        timeouts = {"reboot_timeout_s": "1", "missing_s": "600"}
         declaration = one_pool(4, 2, [make_wave("issuance")])
-        await self.start_cluster(declaration, backends=4, manager=quick)
-        await self.act(WaveAction.START)
-        await self.wait_event("order-reboot", 2)
+        await self.start_cluster(declaration, backends=4, manager=timeouts)
+        await self.control_wave(WaveAction.START)
+        await self.wait_for_events("order-reboot", 2)
         for backend in self.backends:
             backend.kill()
-        await self.wait_phase(WavePhase.HALTED)
+        await self.wait_for_phase(WavePhase.HALTED)
         status = await self.status()
         self.assertGreater(status.waves[0].failed, 0)
         self.assertIn("failed", status.waves[0].reason)
 
 
 class TestStoreFailures(WaveCase):
-    """A store that is down, slow or loses answers breaks nothing."""
+    """Waves and operators' changes survive a store that is down, hangs or loses responses."""
 
-    async def test_a_wave_goes_on_after_each_fault(self) -> None:
+    async def test_wave_continues_after_each_store_fault(self) -> None:
         await self.start_wave_cluster(managers=1, entries=1)
-        await self.act(WaveAction.START)
+        await self.control_wave(WaveAction.START)
         for number, fault in enumerate(
             (PlatformFault.LOSE_ANSWERS, PlatformFault.REFUSE, PlatformFault.HANG), start=1
         ):
-            await self.wait_event("order-drain", number)
+            await self.wait_for_events("order-drain", number)
             await self.orders.fail(fault)
-            # The entry goes on all the while.
+            # The entry keeps serving meanwhile.
             for _ in range(5):
-                answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-                self.assertEqual(answer.status_code, 200)
+                response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+                self.assertEqual(response.status_code, 200)
             await self.orders.heal()
-        await self.wait_phase(WavePhase.DONE)
-        await self.assert_promises()
+        await self.wait_for_phase(WavePhase.DONE)
+        await self.assert_guarantees()
 
-    async def test_a_wave_goes_on_after_restarts_of_the_store(self) -> None:
+    async def test_wave_continues_after_store_restarts(self) -> None:
         await self.start_wave_cluster(managers=2, entries=1)
-        await self.act(WaveAction.START)
+        await self.control_wave(WaveAction.START)
         for number in range(1, 4):
-            await self.wait_event("order-drain", number)
+            await self.wait_for_events("order-drain", number)
             await self.orders.restart(300)
-            answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-            self.assertEqual(answer.status_code, 200)
-        await self.wait_phase(WavePhase.DONE)
-        await self.assert_promises()
+            response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+            self.assertEqual(response.status_code, 200)
+        await self.wait_for_phase(WavePhase.DONE)
+        await self.assert_guarantees()
 
-    async def test_nothing_starts_while_the_store_is_down(self) -> None:
+    async def test_no_wave_starts_while_the_store_is_down(self) -> None:
         await self.start_wave_cluster(managers=1)
         await self.orders.fail(PlatformFault.REFUSE)
         with self.assertRaises(UnreachableError):
-            await self.act(WaveAction.START)
+            await self.control_wave(WaveAction.START)
         before = len(await self.orders.records())
-        await anyio.sleep(0.5)  # long enough for several rounds, were they to start
+        await anyio.sleep(0.5)  # several planning rounds
         self.assertEqual(len(await self.orders.records()), before)
         await self.orders.heal()
-        await self.act(WaveAction.START)
-        await self.wait_phase(WavePhase.DONE)
-        await self.assert_promises()
+        await self.control_wave(WaveAction.START)
+        await self.wait_for_phase(WavePhase.DONE)
+        await self.assert_guarantees()
 
-    async def test_an_apply_whose_answer_was_lost_is_there_once(self) -> None:
+    async def test_apply_with_a_lost_response_is_recorded_once(self) -> None:
         await self.start_wave_cluster(managers=1)
         for number in range(3):
             await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=1)
             name = f"pool-{number}"
             await self.apply(Declaration(pools=[make_pool(name, 0, 0)]))
-            records = [r for r in await self.orders.records() if puts(r, name)]
+            records = [r for r in await self.orders.records() if declares_pool(r, name)]
             self.assertEqual(len(records), 1)
 
-    async def test_an_apply_in_an_outage_says_what_is_known(self) -> None:
+    async def test_apply_during_an_outage_reports_that_nothing_changed(self) -> None:
         await self.start_wave_cluster(managers=1)
         await self.orders.fail(PlatformFault.REFUSE)
         declaration = Declaration(pools=[make_pool("late", 0, 0)])
@@ -301,19 +308,21 @@
             await self.apply(declaration)
         self.assertIn("nothing was changed", str(caught.exception))
         await self.orders.heal()
-        self.assertFalse([r for r in await self.orders.records() if puts(r, "late")])
+        self.assertFalse([r for r in await self.orders.records() if declares_pool(r, "late")])
 
 
-def puts(record: Record, pool: str) -> bool:
-    """Tell whether a record puts a pool."""
+def declares_pool(record: Record, pool: str) -> bool:
+    """Return whether a record declares a pool."""
     return record.put is not None and any(p.id == pool for p in record.put.pools)
 
 
 class TestOperators(WaveCase):
-    """Operators who race each other, and operators who are wrong."""
+    """Concurrent changes by operators, and invalid calls."""
 
-    async def send(self, base: int, size: int, operator: str, manager: int = 0) -> ApplyResponse:
-        """Resize the pool from a base revision, as some operator."""
+    async def resize_pool(
+        self, base: int, size: int, operator: str, manager: int = 0
+    ) -> ApplyResponse:
+        """Resize the pool as the given operator, based on a revision."""
         client = OperatorClient(self.managers[manager].url, operator)
         request = ApplyRequest(
             schema_version=SCHEMA_VERSION,
@@ -322,14 +331,14 @@
         )
         return await client.apply(request)
 
-    async def test_the_loser_of_a_race_is_told_who_and_what(self) -> None:
+    async def test_conflict_names_the_section_and_the_other_operator(self) -> None:
         await self.start_wave_cluster()
         base = (await self.status()).revision
         results: list[object] = []
 
         async def race(name: str, size: int, manager: int) -> None:
             try:
-                results.append(await self.send(base, size, name, manager))
+                results.append(await self.resize_pool(base, size, name, manager))
             except ConflictError as failure:
                 results.append(failure)
 
@@ -353,7 +362,7 @@
             response = await self.operator.apply(request)
             self.assertEqual(list(response.changed), [f"pool {name}"])
 
-    async def test_wrong_calls_name_their_place_and_change_nothing(self) -> None:
+    async def test_invalid_calls_name_the_cause_and_change_nothing(self) -> None:
         await self.start_wave_cluster(managers=1)
         before = len(await self.orders.records())
         calls = [
@@ -377,7 +386,7 @@
         self.assertEqual(len(response.findings), 2)
         self.assertEqual(len(await self.orders.records()), before)
 
-    async def test_a_drain_that_would_break_the_budget_is_refused(self) -> None:
+    async def test_drain_below_the_budget_is_refused(self) -> None:
         await self.start_wave_cluster(managers=1)
         await self.operator.drain(DrainRequest(instance="b0"))
         with self.assertRaises(PumicespurError) as caught:
@@ -388,17 +397,17 @@
         await self.operator.drain(DrainRequest(instance="b1"))
 
     async def test_pause_resume_and_abort(self) -> None:
-        self.reboot_ms = 1500  # so slow that the wave can't end before it is aborted
+        self.reboot_ms = 1500  # slow enough that the wave can't end before it is aborted
         await self.start_wave_cluster(managers=1)
-        await self.act(WaveAction.START)
-        await self.wait_event("order-drain")
-        await self.act(WaveAction.PAUSE)
+        await self.control_wave(WaveAction.START)
+        await self.wait_for_events("order-drain")
+        await self.control_wave(WaveAction.PAUSE)
         await self.wait_full()
-        paused_at = len((await self.orders.history()).events)
-        await self.act(WaveAction.RESUME)
-        await self.wait_event("order-drain", 2)
-        self.assertGreater(len((await self.orders.history()).events), paused_at)
-        await self.act(WaveAction.ABORT)
+        events_before_resume = len((await self.orders.history()).events)
+        await self.control_wave(WaveAction.RESUME)
+        await self.wait_for_events("order-drain", 2)
+        self.assertGreater(len((await self.orders.history()).events), events_before_resume)
+        await self.control_wave(WaveAction.ABORT)
         await self.wait_full()
         status = await self.status()
         self.assertIs(status.waves[0].phase, WavePhase.ABORTED)
@@ -406,23 +415,23 @@
 
 
 class TestConfiguration(WaveCase):
-    """An accepted configuration reaches every process and never goes back."""
+    """An accepted configuration reaches every process and is never rolled back."""
 
-    async def test_it_reaches_a_process_that_is_cut_off_from_the_store(self) -> None:
-        """Peers pass it on while one process's own way to the store is cut."""
+    async def test_peers_pass_it_to_a_process_without_the_store(self) -> None:
+        """One process has a store URL that nothing listens on, so it can learn only from peers."""
         await self.start_wave_cluster(managers=1, entries=1)
-        dead = {"url": "http://127.0.0.1:1"}
+        unreachable = {"url": "http://127.0.0.1:1"}
         peers = {"peers": self.managers[0].ready["peer"]}
-        cut_off = self.start_role("entry", 9, {"platform": dead, "process": peers})
+        cut_off = self.start_role("entry", 9, {"platform": unreachable, "process": peers})
         cut_off.wait_ready()
         revision = await self.apply(Declaration(pools=[make_pool("new", 0, 0)]))
 
-        async def reached() -> bool:
+        async def is_reached() -> bool:
             return bool(cut_off.describe()["revision"] >= revision)
 
-        await wait_until(reached, "the cut-off process has the revision")
+        await wait_until(is_reached, "the cut-off process has the revision")
 
-    async def test_a_process_started_in_an_outage_learns_from_peers(self) -> None:
+    async def test_process_started_during_an_outage_learns_from_peers(self) -> None:
         await self.start_wave_cluster(managers=1, entries=1)
         await self.orders.fail(PlatformFault.REFUSE)
         peers = {"peers": self.entries[0].ready["peer"]}
@@ -430,41 +439,41 @@
         late.wait_ready()
 
         async def serves() -> bool:
-            answer = await self.http.get(f"{late.url}/issuance/x")
-            return answer.status_code == 200
+            response = await self.http.get(f"{late.url}/issuance/x")
+            return response.status_code == 200
 
         await wait_until(serves, "the late entry serves")
 
-    async def test_one_cut_off_from_everything_goes_on(self) -> None:
+    async def test_entry_without_manager_and_store_keeps_serving(self) -> None:
         limits = {"doubt_after_s": "0.3", "doubt_wait_s": "0.2"}
         declaration = one_pool(2, 1)
         await self.start_cluster(declaration, backends=2, entry=limits)
         self.managers[0].kill()
         await self.orders.fail(PlatformFault.HANG)
         await anyio.sleep(0.5)  # past doubt_after_s
-        answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
-        self.assertEqual(outcome_of(answer), "answered")
+        response = await self.http.get(f"{self.entries[0].url}/issuance/x")
+        self.assertEqual(outcome_of(response), "answered")
 
-    async def test_a_new_process_starts_from_a_snapshot(self) -> None:
-        quick = {"snapshot_every": "3"}
-        await self.start_cluster(one_pool(2, 1), backends=2, manager=quick)
+    async def test_new_process_starts_from_a_snapshot(self) -> None:
+        frequent = {"snapshot_every": "3"}
+        await self.start_cluster(one_pool(2, 1), backends=2, manager=frequent)
         for number in range(5):
             revision = await self.apply(Declaration(pools=[make_pool(f"p{number}", 0, 0)]))
         late = self.start_role("manager", 9)
         late.wait_ready()
 
-        async def same() -> bool:
+        async def is_current() -> bool:
             return bool(late.describe()["revision"] >= revision)
 
-        await wait_until(same, "the new process is up to date")
+        await wait_until(is_current, "the new process is up to date")
         status = await OperatorClient(late.url, "t").status()
         self.assertEqual(len(status.pools), 6)
 
 
 class TestStaleRouting(ClusterCase):
-    """A process that slept through a move does not use its old table."""
+    """A process that was frozen during a move does not use its old routing table."""
 
-    async def test_a_woken_entry_waits_for_the_newest_table(self) -> None:
+    async def test_entry_waits_for_the_newest_table_after_a_freeze(self) -> None:
         limits = {"doubt_after_s": "0.5", "doubt_wait_s": "5"}
         pools = [make_pool("issuance", 1, 0), make_pool("draws", 0, 0)]
         settle = {"move_settle_s": "1"}
@@ -482,15 +491,15 @@
 
         await wait_until(is_moved, "the instance moves")
         async with anyio.create_task_group() as tasks:
-            answers: list[str] = []
+            outcomes: list[str] = []
 
             async def call() -> None:
-                answers.append(outcome_of(await self.http.get(url)))
+                outcomes.append(outcome_of(await self.http.get(url)))
 
             for _ in range(4):
                 tasks.start_soon(call)
             await anyio.sleep(0.1)  # lets the request reach the frozen entry's socket
             entry.send_signal(signal.SIGCONT)
-        self.assertEqual(answers, ["not-run"] * 4)
+        self.assertEqual(outcomes, ["not-run"] * 4)
         runs = (await BackendOrders(self.backends[0]).inspect()).runs
         self.assertEqual(len(runs), 1)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""Tests of the folded state."""
+"""Tests of the fleet state that is folded from the log."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 
 
 def numbered(records: list[Record]) -> list[Record]:
-    """Give records their revisions."""
+    """Return the records, numbered with consecutive revisions from 1."""
     for revision, record in enumerate(records, start=1):
         record.revision = revision
     return records
 
 
 class TestFleet(unittest.TestCase):
-    """The fold is the same however it is reached."""
+    """The fleet state depends on the records alone."""
 
     @given(st.lists(RECORDS, max_size=12), st.integers(0, 12))
-    def test_a_snapshot_on_the_way_changes_nothing(self, records: list[Record], cut: int) -> None:
-        whole = Fleet()
-        parts = Fleet()
+    def test_restoring_a_snapshot_changes_nothing(self, records: list[Record], cut: int) -> None:
+        uninterrupted = Fleet()
+        restored = Fleet()
         for record in numbered(records):
-            whole.apply(record)
+            uninterrupted.apply(record)
             if record.revision == cut:
-                parts = Fleet.from_snapshot(parts.snapshot())
-            parts.apply(record)
-        self.assertEqual(parts, whole)
+                restored = Fleet.from_snapshot(restored.snapshot())
+            restored.apply(record)
+        self.assertEqual(restored, uninterrupted)
 
     @given(st.lists(RECORDS, max_size=12))
     def test_an_instance_is_in_the_pool_of_its_last_assignment(self, records: list[Record]) -> None:
@@ -68,14 +68,14 @@
                     naive[assignment.instance] = assignment.pool
         self.assertEqual({name: a.pool for name, a in fleet.assignments.items()}, naive)
 
-    def test_a_record_that_does_not_follow_is_refused(self) -> None:
+    def test_record_with_another_revision_than_the_next_is_refused(self) -> None:
         fleet = Fleet(revision=3)
         for revision in (3, 5):
             with self.assertRaises(RevisionGapError):
                 fleet.apply(Record(revision=revision))
         self.assertEqual(fleet.revision, 3)
 
-    def test_changes_name_who_changed_a_section_last(self) -> None:
+    def test_changes_name_the_last_author_of_a_section(self) -> None:
         fleet = Fleet()
         fleet.apply(Record(revision=1, author="ann", put=Declaration(pools=[Pool(id="a")])))
         same = Declaration(pools=[Pool(id="a"), Pool(id="b")])
@@ -85,7 +85,7 @@
 
 
 class TestMinimumAvailable(unittest.TestCase):
-    """A share never asks for less than was declared."""
+    """A budget given as a share is never below the declared share."""
 
     def test_shares_round_up(self) -> None:
         for size, share, wanted in ((8, 0.75, 6), (7, 0.5, 4), (10, 0.3, 3), (3, 1.0, 3)):
