--- a/pumicespur/operators/_changes.py
+++ b/pumicespur/operators/_changes.py
@@ -38,7 +38,7 @@
 
 
 def drain_assignment(assignment: Assignment) -> Assignment | None:
-    """Return the assignment of an instance drained by an operator; None if it already is one."""
+    """Return the assignment for draining an instance; None if an operator drained it already."""
     if assignment.state is not InstanceState.SERVING:
         if assignment.reason is DrainReason.OPERATOR:
             return None
@@ -54,7 +54,7 @@
 
 
 def resume_assignment(assignment: Assignment) -> Assignment:
-    """Return the assignment of an instance that an operator returns to service."""
+    """Return the assignment for returning an instance to service."""
     serving = assignment.state is InstanceState.SERVING
     if not serving and assignment.reason is not DrainReason.OPERATOR:
         text = f"instance: {assignment.instance} was not drained by an operator"
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -142,7 +142,7 @@
         await self.assert_guarantees()
 
     async def test_log_stays_consistent_over_repeated_takeovers(self) -> None:
-        """Two processes may consider themselves planner; the epoch lets only one append."""
+        """A planner frozen during a takeover still considers itself planner, but can't append."""
         await self.start_wave_cluster()
         for _ in range(3):
             planner = await self.planner()
@@ -284,7 +284,7 @@
         with self.assertRaises(UnreachableError):
             await self.control_wave(WaveAction.START)
         before = len(await self.orders.records())
-        await anyio.sleep(0.5)  # several planning rounds
+        await anyio.sleep(0.5)  # enough for several planning rounds
         self.assertEqual(len(await self.orders.records()), before)
         await self.orders.heal()
         await self.control_wave(WaveAction.START)
