--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -107,10 +107,10 @@
     rows = []
     for size in SIZES:
         model = large_model(size)
-        idle = timed(lambda model=model: decide(model._look()), 3)  # type: ignore[misc]
+        idle = timed(lambda model=model: decide(model._plan_input()), 3)  # type: ignore[misc]
         model.start_wave("w")
-        busy = timed(lambda model=model: decide(model._look()), 3)  # type: ignore[misc]
-        record = decide(model._look()).record()
+        busy = timed(lambda model=model: decide(model._plan_input()), 3)  # type: ignore[misc]
+        record = decide(model._plan_input()).record()
         assert record is not None
         snapshot = model.fleet.snapshot()
         content = snapshot.to_binary()
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -24,7 +24,7 @@
 from pumicespur.schema.fleet_pb import WavePhase
 from pumicespur.schema.operators_pb import ApplyRequest, WaveAction, WaveRequest
 from pumicespur.utils import monotonic
-from standins.checker import count_moves, count_runs, lowest_availability, pool_clashes
+from standins.checker import count_moves, count_runs, lowest_availability, undrained_moves
 from standins.launcher import BackendOrders, Child, Launcher, PlatformOrders, wait_until
 
 DECLARATION = Path(__file__).parent / "demo.ini"
@@ -163,7 +163,7 @@
         [(pool, low.lowest, low.minimum) for pool, low in budgets.items()],
     )
     print()
-    clashes = pool_clashes(history)
+    clashes = undrained_moves(history)
     moves = count_moves(history)
     rows = [
         ("not-repeatable requests doubled", len(doubled)),
--- a/soak/_leaving.py
+++ b/soak/_leaving.py
@@ -73,7 +73,7 @@
     faults = world.store.faults
     where, what = {
         FaultKind.LIST_UNREAD: (faults.refused_tables, "servers"),
-        FaultKind.LIST_UNTOLD: (faults.deaf_tables, "servers"),
+        FaultKind.LIST_UNTOLD: (faults.stalled_feeds, "servers"),
         FaultKind.COMMITS_REFUSED: (faults.refused_callers, NAMES_WORKERS),
     }[fault.kind]
     where.add(what)
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -137,7 +137,7 @@
         await self.take_down(name)
         if pool is not None:
             stranger = HostedWorker(f"{worker.id}-next", pool, name, worker.rack, self.history)
-            await self._begin_life(stranger, int(worker.address.rpartition(":")[2]))
+            await self._start_incarnation(stranger, int(worker.address.rpartition(":")[2]))
             await self.publish(stranger)
             return
         await asyncio.sleep(for_s)
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, for tests and the demo only."""
+"""Stand-ins (test doubles) for external systems, used only by tests, benchmarks and the demo."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,7 +1,7 @@
 """A stand-in for one backend server: 8 slots, 60 connections and scripted faults.
 
-It speaks HTTP/1.1 to entries and takes orders on a second port. It notes every request
-that it ran, so that a test can count runs without asking the system under test.
+It serves HTTP/1.1 to entries and accepts orders on a second port. It keeps a list of all
+requests that it ran, so that a test can count runs without relying on the system under test.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 
 
 class DroppedError(Exception):
-    """The connection is to be closed without more answers."""
+    """The connection must be closed without any further response."""
 
 
 class Backend:
-    """The state of the backend server and the rules by which it answers."""
+    """The state of the backend server and how it responds to requests."""
 
     def __init__(self, slots: int, connections: int, work_ms: int) -> None:
         self.slots = anyio.CapacityLimiter(slots)
@@ -54,8 +54,8 @@
         self.faults_left = 0
         self.last_request = "none"
 
-    def take_fault(self) -> BackendFault:
-        """Return the fault for the next request and count it."""
+    def next_fault(self) -> BackendFault:
+        """Return the fault for the next request; lift a counted fault after its last use."""
         fault = self.order.fault
         if self.order.count and fault:
             self.faults_left -= 1
@@ -63,47 +63,49 @@
                 self.order.fault = BackendFault.UNSPECIFIED
         return fault
 
-    async def answer(self, request: h11.Request) -> tuple[int, list[tuple[str, str]], bytes]:
-        """Run one request; return the status, headers and body."""
+    async def respond(self, request: h11.Request) -> tuple[int, list[tuple[str, str]], bytes]:
+        """Process one request; return the status, headers and body."""
         headers = {name.decode(): value.decode() for name, value in request.headers}
-        echo = headers.get("pumicespur-request-id", "")
+        request_id = headers.get("pumicespur-request-id", "")
         if self.state.draining:
-            return 503, [LEAVING_HEADER, NOT_RUN_HEADER, ("pumicespur-request-id", echo)], b""
-        fault = self.take_fault()
+            return 503, [LEAVING_HEADER, NOT_RUN_HEADER, ("pumicespur-request-id", request_id)], b""
+        fault = self.next_fault()
         if fault is BackendFault.FAIL:
-            return 500, [NOT_RUN_HEADER, ("pumicespur-request-id", echo)], b"failed"
-        body = await self.run(headers.get("idempotency-key", ""), echo, request.target.decode())
+            return 500, [NOT_RUN_HEADER, ("pumicespur-request-id", request_id)], b"failed"
+        body = await self.run(
+            headers.get("idempotency-key", ""), request_id, request.target.decode()
+        )
         match fault:
             case BackendFault.CLOSE:
                 raise DroppedError
             case BackendFault.HANG:
                 await anyio.sleep_forever()
             case BackendFault.TRUNCATE:
-                return 200, [("x-truncate", "1"), ("pumicespur-request-id", echo)], body
+                return 200, [("x-truncate", "1"), ("pumicespur-request-id", request_id)], body
             case BackendFault.DUPLICATE:
-                return 200, [("x-duplicate", "1"), ("pumicespur-request-id", echo)], body
+                return 200, [("x-duplicate", "1"), ("pumicespur-request-id", request_id)], body
             case BackendFault.SWAP:
                 return 200, [("pumicespur-request-id", self.last_request)], body
-        self.last_request = echo
+        self.last_request = request_id
         load = f"{self.state.running}/{self.slots.total_tokens}"
-        return 200, [("pumicespur-request-id", echo), ("pumicespur-load", load)], body
+        return 200, [("pumicespur-request-id", request_id), ("pumicespur-load", load)], body
 
-    async def run(self, key: str, echo: str, target: str) -> bytes:
-        """Take a slot, do the work and note the run."""
+    async def run(self, key: str, request_id: str, target: str) -> bytes:
+        """Occupy a slot, do the work and add it to the list of runs; return the response body."""
         self.state.running += 1
         try:
             async with self.slots:
                 now = int(time.time() * 1000)
-                self.state.runs.append(BackendRun(key=key, request=echo, at_ms=now))
+                self.state.runs.append(BackendRun(key=key, request=request_id, at_ms=now))
                 busy = int(self.slots.borrowed_tokens)
                 self.state.most_running = max(self.state.most_running, busy)
                 await anyio.sleep((self.work_ms + self.order.delay_ms) / 1000)
-                return json.dumps({"request": echo, "key": key, "target": target}).encode()
+                return json.dumps({"request": request_id, "key": key, "target": target}).encode()
         finally:
             self.state.running -= 1
 
     async def handle(self, stream: SocketStream) -> None:
-        """Serve one connection until either side closes it."""
+        """Serve one connection until either side closes it; refuse it when down or at the limit."""
         if len(self.open) >= self.connections or self.state.down:
             await anyio.aclose_forcefully(stream)
             return
@@ -124,17 +126,17 @@
         connection = h11.Connection(h11.SERVER)
         while True:
             request = await self._receive(stream, connection)
-            status, headers, body = await self.answer(request)
+            status, headers, body = await self.respond(request)
             truncated = ("x-truncate", "1") in headers
             headers.append(("content-length", str(len(body))))
             head = connection.send(h11.Response(status_code=status, headers=headers))
             if truncated:
                 await stream.send(head + body[: len(body) // 2])
                 raise DroppedError
-            whole = (
+            response = (
                 head + connection.send(h11.Data(data=body)) + connection.send(h11.EndOfMessage())
             )
-            await stream.send(whole * (2 if ("x-duplicate", "1") in headers else 1))
+            await stream.send(response * (2 if ("x-duplicate", "1") in headers else 1))
             if connection.our_state is not h11.DONE:
                 return
             connection.start_next_cycle()
@@ -155,14 +157,14 @@
 
 
 class Control(BackendControl):
-    """The orders that the platform stand-in and tests give."""
+    """The control interface, used by the platform stand-in and by tests."""
 
     def __init__(self, backend: Backend, reboot: anyio.Event) -> None:
         self.backend = backend
         self.rebooting = reboot
 
     async def give(self, request: BackendOrder, ctx: object, /) -> BackendState:
-        """Take an order: a fault, a drain, a resume or a reboot."""
+        """Apply an order: a fault, a drain, a resume or a reboot."""
         backend = self.backend
         if request.drain:
             backend.state.draining = True
@@ -178,7 +180,7 @@
         return backend.state
 
     async def inspect(self, request: Empty, ctx: object, /) -> BackendState:
-        """Tell the state and all runs so far."""
+        """Return the state and all runs so far."""
         return self.backend.state
 
 
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -1,4 +1,4 @@
-"""Judge promises from the stand-ins' histories, never from the system's own view."""
+"""Check the system's guarantees against the stand-ins' histories, never its own view."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 
 @dataclass
 class LowestAvailability:
-    """The fewest instances of a pool that were in service at any moment, and its budget."""
+    """The fewest instances of a pool ever in service at once, and its availability budget."""
 
     lowest: int
     minimum: int
 
 
 class Timeline:
-    """Replays what happened to instances together with the log's records."""
+    """Replays the instances' events and the log's records in order of time."""
 
     def __init__(self, history: HistoryResponse) -> None:
         self.fleet = Fleet()
         self.down: set[str] = set()
         self.lowest: dict[str, LowestAvailability] = {}
         self.full: set[str] = set()
-        moments: list[tuple[int, int, Record | HistoryEvent]] = [
+        changes: list[tuple[int, int, Record | HistoryEvent]] = [
             (record.at_ms, 0, record) for record in history.records
         ]
-        moments += [(event.at_ms, 1, event) for event in history.events]
-        for _, _, moment in sorted(moments, key=lambda item: item[:2]):
-            if isinstance(moment, Record):
-                self.fleet.apply(moment)
+        changes += [(event.at_ms, 1, event) for event in history.events]
+        for _, _, change in sorted(changes, key=lambda item: item[:2]):
+            if isinstance(change, Record):
+                self.fleet.apply(change)
             else:
-                self._happen(moment)
-            self._measure()
+                self._apply_event(change)
+            self._update_lowest()
 
-    def _happen(self, event: HistoryEvent) -> None:
+    def _apply_event(self, event: HistoryEvent) -> None:
         match event.kind:
             case "order-drain" | "order-reboot" | "down":
                 self.down.add(event.instance)
             case "up" | "order-resume":
                 self.down.discard(event.instance)
 
-    def _measure(self) -> None:
+    def _update_lowest(self) -> None:
         for name, pool in self.fleet.pools.items():
-            self._measure_pool(name, pool)
+            self._update_lowest_of_pool(name, pool)
 
-    def _measure_pool(self, name: str, pool: Pool) -> None:
+    def _update_lowest_of_pool(self, name: str, pool: Pool) -> None:
         members = [a.instance for a in self.fleet.assignments.values() if a.pool == name]
         up = sum(1 for member in members if member not in self.down)
         if up >= pool.size:
-            # A budget counts from the moment at which its pool was first full.
+            # A budget applies only once its pool has been full.
             self.full.add(name)
         if name not in self.full:
             return
@@ -66,50 +66,50 @@
 
 
 def lowest_availability(history: HistoryResponse) -> dict[str, LowestAvailability]:
-    """Return, for each pool, the fewest instances in service since it was first full."""
+    """Return each pool's lowest availability since the pool was first full."""
     return Timeline(history).lowest
 
 
-def pool_clashes(history: HistoryResponse) -> list[str]:
-    """Return instances that changed pool without being drained in between.
+def undrained_moves(history: HistoryResponse) -> list[str]:
+    """Return instances that changed pool without being drained first.
 
-    Spare instances serve nobody and need no drain.
+    Spare instances serve no requests and need no drain.
     """
     drained: set[str] = set()
     pools: dict[str, str] = {}
-    clashes: list[str] = []
-    moments: list[tuple[int, int, Record | HistoryEvent]] = [
+    undrained: list[str] = []
+    changes: list[tuple[int, int, Record | HistoryEvent]] = [
         (event.at_ms, 0, event) for event in history.events
     ]
-    moments += [(record.at_ms, 1, record) for record in history.records]
-    for _, _, moment in sorted(moments, key=lambda item: item[:2]):
-        if not isinstance(moment, Record):
-            if moment.kind == "order-drain":
-                drained.add(moment.instance)
-            elif moment.kind in ("order-resume", "up"):
-                drained.discard(moment.instance)
+    changes += [(record.at_ms, 1, record) for record in history.records]
+    for _, _, change in sorted(changes, key=lambda item: item[:2]):
+        if not isinstance(change, Record):
+            if change.kind == "order-drain":
+                drained.add(change.instance)
+            elif change.kind in ("order-resume", "up"):
+                drained.discard(change.instance)
             continue
-        for assignment in moment.assignments:
+        for assignment in change.assignments:
             before = pools.get(assignment.instance, "spare")
             if assignment.removed:
                 pools.pop(assignment.instance, None)
                 continue
             if before not in ("spare", assignment.pool) and assignment.instance not in drained:
-                clashes.append(assignment.instance)
+                undrained.append(assignment.instance)
             pools[assignment.instance] = assignment.pool
-    return clashes
+    return undrained
 
 
 @dataclass
 class Moves:
-    """Instances that changed pool, spare ones left out, and tasks that changed place."""
+    """How many instances changed pool, except out of the spare pool, and how many tasks moved."""
 
     instances: int = 0
     tasks: int = 0
 
 
 def count_moves(history: HistoryResponse) -> Moves:
-    """Count the moves that the log decided."""
+    """Count the moves of instances and tasks that the log's records order."""
     moves = Moves()
     pools: dict[str, str] = {}
     for record in history.records:
@@ -122,5 +122,5 @@
 
 
 def count_runs(state: BackendState) -> Counter[str]:
-    """Return how often each not-repeatable request ran on a backend server."""
+    """Return how often each at-most-once request ran on a backend server, by its key."""
     return Counter(run.key for run in state.runs if run.key)
--- a/standins/hosted/__init__.py
+++ b/standins/hosted/__init__.py
@@ -1,8 +1,8 @@
-"""A stand-in for the users' platform, by its published protocol: store, workers, instances."""
+"""A stand-in for the users' platform that speaks its protocol: store, workers, instances."""
 
 from __future__ import annotations
 
-from standins.hosted._advice import VALID_MS
+from standins.hosted._advice import TICKET_VALIDITY_MS
 from standins.hosted._fleet import FleetOrder, HostedFleet
 from standins.hosted._foreign import FOREIGN_ENTRIES, USUAL_ENTRY
 from standins.hosted._links import Link, Passage
@@ -18,8 +18,8 @@
     "MAX_ATTEMPTS",
     "NODE_MODULE",
     "SUSPENDABLE_MODULE",
+    "TICKET_VALIDITY_MS",
     "USUAL_ENTRY",
-    "VALID_MS",
     "WORKER_CPU",
     "FleetOrder",
     "HostedFleet",
--- a/standins/hosted/_advice.py
+++ b/standins/hosted/_advice.py
@@ -1,4 +1,4 @@
-"""The stand-in for the service that says which workers may run a step."""
+"""The stand-in for the placement advice service, which says which workers may run a step."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from aiohttp import web
 
-VALID_MS = 400
-"""How long a ticket holds; short, so that tests meet its end."""
+TICKET_VALIDITY_MS = 400
+"""Short, so that tickets expire within a test."""
 
 
 class HostedAdvice:
-    """Gives tickets for workers that a test does not rule out."""
+    """Issues admission tickets for all workers that a test has not ruled out."""
 
     def __init__(self) -> None:
-        self.numbers = itertools.count(1)
+        self.ticket_numbers = itertools.count(1)
         self.ruled_out: set[str] = set()
-        """Workers that may not run any step."""
+        """Workers that may not run any step, set by a test."""
         self.tickets: dict[str, tuple[str, str]] = {}
-        """Tickets given, with the step and the worker that each is for."""
+        """Issued tickets with the step and the worker that each is for."""
 
     def app(self) -> web.Application:
         """Return the application to serve."""
@@ -28,11 +28,11 @@
 
     async def _advise(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        good = []
+        admitted = []
         for worker in body["workers"]:
             if worker in self.ruled_out:
                 continue
-            ticket = f"t-{next(self.numbers)}"
+            ticket = f"t-{next(self.ticket_numbers)}"
             self.tickets[ticket] = (body["step"], worker)
-            good.append([worker, ticket])
-        return web.json_response({"good": good, "valid_ms": VALID_MS})
+            admitted.append([worker, ticket])
+        return web.json_response({"good": admitted, "valid_ms": TICKET_VALIDITY_MS})
--- a/standins/hosted/_fleet.py
+++ b/standins/hosted/_fleet.py
@@ -1,4 +1,4 @@
-"""The stand-in for the platform's list of instances and the orders for them."""
+"""The stand-in for the platform's list of instances and its orders for them."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True)
 class FleetOrder:
-    """One order as the platform took it."""
+    """One order as the platform accepted it."""
 
     kind: str
     instance: str
     holder: str
     token: int
     at: float
-    """Monotonic time at which it was taken."""
+    """Monotonic time of acceptance, in seconds."""
     worker: str
-    """The worker that ran there, empty if there was none."""
+    """The worker that ran on the instance, empty if there was none."""
 
 
 class HostedFleet:
-    """Lists instances; an order calls back into the world that runs the workers."""
+    """Lists instances and carries out orders by callbacks to the `World` that runs the workers."""
 
     def __init__(
         self,
@@ -37,13 +37,13 @@
         bring_up: Callable[[str, str], Awaitable[None]],
     ) -> None:
         self.take_down = take_down
-        """Ends the worker of an instance."""
+        """Stops the worker of an instance."""
         self.bring_up = bring_up
-        """Gives an instance a new worker, in a pool."""
+        """Starts a new worker on an instance, in a pool."""
         self.busy_s = 0.0
-        """How long a move or maintenance takes."""
+        """Duration of a move or maintenance."""
         self.busy: dict[str, str] = {}
-        """What is done with instances that are not up."""
+        """State of each instance that is not up, as the list shows it."""
         self.tasks: set[asyncio.Task[None]] = set()
         self.pools: dict[str, str] = {}
         self.racks: dict[str, str] = {}
@@ -59,7 +59,7 @@
         return app
 
     def close(self) -> None:
-        """Bring no more instances up."""
+        """Cancel the pending returns of instances into service."""
         for task in self.tasks:
             task.cancel()
 
@@ -86,36 +86,36 @@
 
     async def _order(self, request: web.Request, kind: str) -> web.StreamResponse:
         body = await request.json()
-        name = body["machine"]
-        if name not in self.pools:
+        instance = body["machine"]
+        if instance not in self.pools:
             return web.json_response({"reason": "unknown"}, status=400)
-        if name in self.busy:
+        if instance in self.busy:
             return web.json_response({"reason": "busy"}, status=409)
         self.orders.append(
             FleetOrder(
                 "move" if kind == "moving" else "maintain",
-                name,
+                instance,
                 request.headers["X-Pumicespur-Lease-Holder"],
                 int(request.headers["X-Pumicespur-Fencing-Token"]),
                 monotonic(),
-                self.workers.get(name, ""),
+                self.workers.get(instance, ""),
             )
         )
-        self.pools[name] = body.get("pool", self.pools[name])
-        self.busy[name] = kind
-        await self.take_down(name)
+        self.pools[instance] = body.get("pool", self.pools[instance])
+        self.busy[instance] = kind
+        await self.take_down(instance)
         if self.busy_s:
-            task = asyncio.create_task(self._return_later(name))
+            task = asyncio.create_task(self._return_later(instance))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         else:
-            await self._return(name)
+            await self._return(instance)
         return web.json_response({})
 
-    async def _return_later(self, name: str) -> None:
+    async def _return_later(self, instance: str) -> None:
         await asyncio.sleep(self.busy_s)
-        await self._return(name)
+        await self._return(instance)
 
-    async def _return(self, name: str) -> None:
-        await self.bring_up(name, self.pools[name])
-        self.busy.pop(name, None)
+    async def _return(self, instance: str) -> None:
+        await self.bring_up(instance, self.pools[instance])
+        self.busy.pop(instance, None)
--- a/standins/hosted/_foreign.py
+++ b/standins/hosted/_foreign.py
@@ -1,4 +1,4 @@
-"""Entries of other writers in the workers' table."""
+"""Rows that other writers leave in the workers' table."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
     "machine": "m-foreign",
     "born": 1_776_052_017_694,
 }
-"""Looks like a worker with much room, at an address where nobody listens."""
+"""A valid entry of a worker with much free capacity, at an address where nothing listens."""
 
 
-def _changed(**changes: object) -> bytes:
+def _entry_with(**changes: object) -> bytes:
     return json.dumps({**USUAL_ENTRY, **changes}).encode()
 
 
-def _without(field: str) -> bytes:
+def _entry_without(field: str) -> bytes:
     return json.dumps(
         {name: value for name, value in USUAL_ENTRY.items() if name != field}
     ).encode()
 
 
 FOREIGN_ENTRIES = (
-    _without("address"),
-    _without("capacity"),
-    _without("state"),
-    _without("born"),
-    _changed(born=1_776_052_017.5),
-    _changed(born="1776052017694"),
-    _changed(address=9),
-    _changed(capacity=[64_000]),
-    _changed(labels=None),
-    _changed(state="resting"),
-    _changed(backend="nowhere"),
+    _entry_without("address"),
+    _entry_without("capacity"),
+    _entry_without("state"),
+    _entry_without("born"),
+    _entry_with(born=1_776_052_017.5),
+    _entry_with(born="1776052017694"),
+    _entry_with(address=9),
+    _entry_with(capacity=[64_000]),
+    _entry_with(labels=None),
+    _entry_with(state="resting"),
+    _entry_with(backend="nowhere"),
     b"",
     b"null",
     b"[" * 50_000,
     b"\x00\xff\xfe not text at all",
 )
-"""Fields missing or of another type, states and pools that nobody knows, and what is no text."""
+"""Entries with missing or mistyped fields, unknown states or pools, or values that are no JSON."""
--- a/standins/hosted/_links.py
+++ b/standins/hosted/_links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy between two parties, which can delay, hold, slow, cut one way and reset."""
+"""A loopback TCP proxy that can delay, block, throttle, cut in one direction and reset."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
-THIN_CHUNK_S = 0.02
-"""Time that one piece takes on a thin link, so that its connections share it fairly."""
+THROTTLED_CHUNK_S = 0.02
+"""Duration of one chunk on a throttled link; short, so that its connections share it fairly."""
 
 
 class Passage(Enum):
-    """Which bytes a link carries at present; the others wait until it carries them again."""
+    """Which directions a link carries at present; bytes of the other direction wait."""
 
     BOTH_WAYS = "both ways"
     REQUESTS_ONLY = "requests only"
@@ -27,31 +27,31 @@
 
 
 class Link:
-    """Listens at a free loopback port and carries each connection to its target."""
+    """Listens on a free loopback port and forwards each connection to its target."""
 
     def __init__(self, target: Callable[[], str]) -> None:
         self.target = target
-        """Returns the address to connect to, empty while there is none."""
+        """Returns the address to connect to, empty while the target has none."""
         self.delay_s = 0.0
         self.bytes_per_s = 0.0
-        """What all connections together may carry each way in a second; 0 for no limit."""
+        """Bandwidth of each direction, shared by all connections; 0 for no limit."""
         self.free_at = {True: 0.0, False: 0.0}
-        """When the bytes so far have passed, of requests and of answers (monotonic seconds)."""
+        """Monotonic time at which each direction is free again; True is the requests' direction."""
         self.passage = Passage.BOTH_WAYS
-        self.changed = asyncio.Event()
+        self.passage_changed = asyncio.Event()
         self.writers: set[asyncio.StreamWriter] = set()
         self.connections: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
         self.address = ""
 
     async def listen(self) -> None:
-        """Start to carry connections."""
+        """Start to accept connections."""
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     async def close(self) -> None:
-        """Break all connections and take no more."""
+        """Close all connections and accept no more."""
         self.let_pass(Passage.BOTH_WAYS)
         if self.server is not None:
             self.server.close()
@@ -60,13 +60,13 @@
         await asyncio.gather(*self.connections, return_exceptions=True)
 
     def let_pass(self, passage: Passage) -> None:
-        """Change what the link carries."""
+        """Change which directions the link carries."""
         self.passage = passage
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.passage_changed.set()
+        self.passage_changed = asyncio.Event()
 
     def reset(self) -> None:
-        """Break all connections at once."""
+        """Abort all connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
@@ -77,56 +77,58 @@
 
     async def _connect(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
-        onward: asyncio.StreamWriter | None = None
-        # Either party may break off at any time, which is what a proxy has to pass on.
+        upstream: asyncio.StreamWriter | None = None
+        # Either side may reset its connection at any time; the proxy then closes the other one.
         with contextlib.suppress(OSError):
             try:
                 host, _, port = self.target().rpartition(":")
-                answers, onward = await asyncio.open_connection(host, int(port or 0))
-                self.writers.add(onward)
-                async with asyncio.TaskGroup() as both:
-                    both.create_task(self._carry(reader, onward, request=True))
-                    both.create_task(self._carry(answers, writer, request=False))
+                responses, upstream = await asyncio.open_connection(host, int(port or 0))
+                self.writers.add(upstream)
+                async with asyncio.TaskGroup() as directions:
+                    directions.create_task(self._forward(reader, upstream, request=True))
+                    directions.create_task(self._forward(responses, writer, request=False))
             except* OSError:
-                # One way is broken, so the other is broken as well.
+                # One direction has failed, so the other one ends as well.
                 pass
             finally:
-                self._drop(writer)
-                if onward is not None:
-                    self._drop(onward)
+                self._close_writer(writer)
+                if upstream is not None:
+                    self._close_writer(upstream)
 
-    def _drop(self, writer: asyncio.StreamWriter) -> None:
+    def _close_writer(self, writer: asyncio.StreamWriter) -> None:
         self.writers.discard(writer)
-        # Not aborted: what is written already has to arrive.
+        # Closed, not aborted, so that the bytes written so far still arrive.
         writer.close()
 
-    async def _carry(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, request: bool
     ) -> None:
-        while data := await reader.read(self._chunk()):
+        while data := await reader.read(self._chunk_bytes()):
             await self._wait_for_passage(request)
-            await self._wait_for_room(len(data), request)
+            await self._wait_for_bandwidth(len(data), request)
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
             writer.write(data)
             await writer.drain()
         await self._wait_for_passage(request)
-        raise ConnectionResetError("the other party closed")
+        raise ConnectionResetError("the other side closed the connection")
 
-    def _chunk(self) -> int:
-        return max(1, int(self.bytes_per_s * THIN_CHUNK_S)) if self.bytes_per_s else CHUNK
+    def _chunk_bytes(self) -> int:
+        return (
+            max(1, int(self.bytes_per_s * THROTTLED_CHUNK_S)) if self.bytes_per_s else CHUNK_BYTES
+        )
 
-    async def _wait_for_room(self, size: int, request: bool) -> None:
+    async def _wait_for_bandwidth(self, size: int, request: bool) -> None:
         if self.bytes_per_s:
             now = monotonic()
             self.free_at[request] = max(now, self.free_at[request]) + size / self.bytes_per_s
             await asyncio.sleep(self.free_at[request] - now)
 
     async def _wait_for_passage(self, request: bool) -> None:
-        while not self._passes(request):
-            await self.changed.wait()
+        while not self._may_pass(request):
+            await self.passage_changed.wait()
 
-    def _passes(self, request: bool) -> bool:
+    def _may_pass(self, request: bool) -> bool:
         match self.passage:
             case Passage.BOTH_WAYS:
                 return True
--- a/standins/hosted/_nodes.py
+++ b/standins/hosted/_nodes.py
@@ -1,4 +1,4 @@
-"""Start and end the program's role `node` as real processes."""
+"""Start and stop real processes of the role `node`."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from pathlib import Path
 
 from pumicespur.utils import monotonic
-from standins.suspendable import MARK_SUFFIX
+from standins.suspendable import MARKER_SUFFIX
 
-END_S = 10.0
+KILL_TIMEOUT_S = 10.0
 NODE_MODULE = "pumicespur.commands.node"
-"""Module that is run, with its arguments."""
+"""Default for the module to run, which may be followed by arguments."""
 
 SUSPENDABLE_MODULE = "standins.suspendable"
-"""The same role on a machine that can be suspended."""
+"""The same role with a monotonic clock that omits suspensions."""
 
 SETTINGS = """
 [process]
@@ -55,7 +55,7 @@
 
 @dataclass
 class Node:
-    """One process; its log tells where it listens, once it does."""
+    """One node process; it logs its addresses once it listens."""
 
     name: str
     log: Path
@@ -63,7 +63,7 @@
     process: subprocess.Popen[bytes] = field(init=False)
 
     def address(self, listener: str) -> str:
-        """Return where a listener is bound, empty while the process has not started."""
+        """Return the address of a listener, empty until the process has logged that it started."""
         for line in self.log.read_text().splitlines():
             if '"process started"' in line:
                 fields = json.loads(line)
@@ -72,41 +72,41 @@
         return ""
 
     def suspend(self) -> None:
-        """Let the process stand still, and its steady clock with it."""
-        self.settings.with_suffix(MARK_SUFFIX).write_text(str(monotonic()))
+        """Suspend the process, and its monotonic clock if it runs `SUSPENDABLE_MODULE`."""
+        self.settings.with_suffix(MARKER_SUFFIX).write_text(str(monotonic()))
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume the suspended process."""
         self.send_signal(signal.SIGCONT)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process, which the tests started."""
+        """Send a signal to this process."""
         self.process.send_signal(number)
 
 
 @dataclass
 class Nodes:
-    """The nodes that one test started; it ends only these."""
+    """The nodes that one test started."""
 
     folder: tempfile.TemporaryDirectory[str] = field(default_factory=tempfile.TemporaryDirectory)
     nodes: dict[str, Node] = field(default_factory=dict)
 
     def start(self, name: str, addresses: dict[str, str], module: str = NODE_MODULE) -> Node:
-        """Start a node with a settings file of its own; a name may be started again."""
+        """Write a node's settings file and start it; a stopped node may be started again."""
         node = self.prepare(name, addresses)
         self.launch(node, module)
         return node
 
     def prepare(self, name: str, addresses: dict[str, str]) -> Node:
-        """Write a node's settings, with the stand-ins' addresses by name, without starting it."""
+        """Write a node's settings file with the stand-ins' addresses by name; don't start it."""
         folder = Path(self.folder.name)
         node = Node(name, folder / f"{name}.log", folder / f"{name}.ini")
         node.settings.write_text(SETTINGS.format(name=name, **addresses))
         return node
 
     def launch(self, node: Node, module: str = NODE_MODULE) -> None:
-        """Start the process of a node that is prepared."""
+        """Start the process of a prepared node."""
         with node.log.open("ab") as output:
             node.process = subprocess.Popen(
                 [sys.executable, "-m", *module.split()],
@@ -117,10 +117,10 @@
         self.nodes[node.name] = node
 
     def close(self) -> None:
-        """End every node that was started."""
+        """Kill every node that was started and remove their files."""
         for node in self.nodes.values():
             if node.process.poll() is None:
                 node.send_signal(signal.SIGCONT)
                 node.process.kill()
-            node.process.wait(END_S)
+            node.process.wait(KILL_TIMEOUT_S)
         self.folder.cleanup()
--- a/standins/hosted/_serving.py
+++ b/standins/hosted/_serving.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in at a free port."""
+"""Serve the application of a stand-in over HTTP on a loopback port."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 from pumicespur.listeners import bound_to
 
-SHUTDOWN_S = 0.05
-"""Time that open requests get when a stand-in ends; silent ones would wait for ever."""
+SHUTDOWN_TIMEOUT_S = 0.05
+"""Time for open requests to finish on close; those that a fault leaves unanswered never would."""
 
 
-class Served:
-    """An application that is served, and where."""
+class AppServer:
+    """Serves one application; `address` says where."""
 
     def __init__(self, app: web.Application) -> None:
-        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_S)
+        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         self.address = ""
 
     async def open(self, port: int = 0) -> None:
-        """Listen at a loopback port, by default at a free one."""
+        """Listen on a loopback port, by default on a free one."""
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", port, reuse_address=True).start()
         self.address = bound_to(self.runner)
 
     async def close(self) -> None:
-        """Break all connections and take no more.
+        """Close all connections and accept no more.
 
-        Left to the runner, a request that ends just as its time is over meets a future that is
-        cancelled, which the library logs as an error of the handler.
+        The runner's own cleanup is not enough: a request that ends just as its shutdown timeout
+        expires meets a cancelled future, which aiohttp logs as an error of the handler.
         """
         for site in list(self.runner.sites):
             await site.stop()
         if self.runner.server is not None:
-            # Only now: before, a call whose caller has gone is carried out all the same.
+            # Set only here: while serving, a call is carried out even if its caller disconnects.
             self.runner.server.handler_cancellation = True
             for connection in self.runner.server.connections:
                 connection.force_close()
-            # The handlers are cancelled in the loop's next step.
+            # Let the event loop run once so that the handlers are cancelled.
             await asyncio.sleep(0)
         await self.runner.cleanup()
--- a/standins/hosted/_store.py
+++ b/standins/hosted/_store.py
@@ -1,4 +1,4 @@
-"""The store's stand-in: rows under conditions, changes, and faults set by a test."""
+"""The stand-in for the store: conditional writes, change feeds, and faults set by a test."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 from pumicespur.utils import monotonic
 
-Place = tuple[str, str, str]
+RowPlace = tuple[str, str, str]
 """Table, part and key of a row."""
 
 PAGE_ROWS = 500
 PAGE_BYTES = 1_000_000
-"""Rows and bytes of values that one answer holds at most (the users' protocol page)."""
+"""Most rows and bytes of values in one response, as the users' protocol states them."""
 
 
 @dataclass
 class StoredRow:
-    """A row, or what is left of one that was removed."""
+    """A row, or the mark of a removed one."""
 
-    place: Place
+    place: RowPlace
     value: str
     version: int
     gone: bool = False
 
-    def wire(self) -> dict[str, Any]:
-        """Write the row as the protocol does."""
+    def to_wire(self) -> dict[str, Any]:
+        """Return the row as the protocol writes it."""
         table, part, key = self.place
         row: dict[str, Any] = {
             "table": table,
@@ -45,75 +45,76 @@
 
 
 RowView = Callable[[StoredRow], StoredRow]
-"""What one caller is shown of a row."""
+"""Returns a row as one caller is shown it."""
 
-VIEW: web.AppKey[RowView] = web.AppKey("view")
+ROW_VIEW: web.AppKey[RowView] = web.AppKey("view")
 
 
-def _unchanged(row: StoredRow) -> StoredRow:
+def _full_view(row: StoredRow) -> StoredRow:
     return row
 
 
 @dataclass
 class StoreFaults:
-    """What goes wrong; a test sets it while the store runs."""
+    """Faults of the store, which a test sets while it runs."""
 
     refuse_with: int = 0
-    """Status of every answer; 0 for none."""
+    """Status of every response; 0 for none."""
     silent: bool = False
+    """Whether requests get no response."""
     slow_s: float = 0.0
     lose_share: float = 0.0
-    """Share of writes that are done and not answered."""
+    """Share of writes that are applied without a response."""
     late_share: float = 0.0
-    """Share of writes that are done only later, without an answer."""
+    """Share of writes that are applied after `late_s`, without a response."""
     late_s: float = 0.5
     refused_tables: set[str] = field(default_factory=set)
-    """Tables that nobody can read at present."""
-    deaf_tables: set[str] = field(default_factory=set)
-    """Tables whose changes nobody is told at present: requests for them get no answer."""
+    """Tables that can't be read at present: requests for them get status 503."""
+    stalled_feeds: set[str] = field(default_factory=set)
+    """Tables whose change feeds stall at present: requests for them get no response."""
     refused_callers: set[str] = field(default_factory=set)
-    """Bodies that hold one of these texts are refused with 503."""
+    """Writes with a value that contains one of these texts are refused with status 503."""
 
 
 class HostedStore:
     """Keeps rows in memory and serves them over HTTP."""
 
     def __init__(self, seed: int = 1) -> None:
-        self.rows: dict[Place, StoredRow] = {}
+        self.rows: dict[RowPlace, StoredRow] = {}
         self.history: list[StoredRow] = []
-        """Every change in order; who follows a table is handed each, not only the newest."""
+        """All changes in order; a change feed delivers each one, not only the latest of a row."""
         self.version = 0
         self.oldest = 0
-        """Changes up to this version are forgotten."""
+        """Changes up to this version have been dropped."""
         self.faults = StoreFaults()
         self.changed = asyncio.Event()
         self.random = random.Random(seed)
         self.calls: dict[str, int] = {}
 
-    def app(self, view: RowView = _unchanged) -> web.Application:
-        """Return the application to serve; its callers see rows as `view` shows them."""
+    def app(self, view: RowView = _full_view) -> web.Application:
+        """Return the application to serve; reads return rows as `view` shows them."""
         app = web.Application()
-        app[VIEW] = view
+        app[ROW_VIEW] = view
         app.router.add_post("/pumicespur/rows-tx", self._transact)
         app.router.add_get("/pumicespur/rows-get", self._get)
         app.router.add_get("/pumicespur/rows-feed", self._feed)
         return app
 
-    def put(self, place: Place, value: bytes) -> int:
-        """Write a row as the operator or a worker does."""
+    def put(self, place: RowPlace, value: bytes) -> int:
+        """Write a row unconditionally, as operators and workers do."""
         return self._apply([StoredRow(place, base64.b64encode(value).decode(), 0)])
 
-    def remove(self, place: Place) -> int:
-        """Remove a row as a worker does."""
+    def remove(self, place: RowPlace) -> int:
+        """Remove a row unconditionally, as workers do."""
         return self._apply([StoredRow(place, "", 0, gone=True)])
 
-    def value(self, place: Place) -> bytes | None:
-        """Read a row as the operator does."""
+    def value(self, place: RowPlace) -> bytes | None:
+        """Return a row's value, None if it does not exist."""
         row = self.rows.get(place)
         return None if row is None or row.gone else base64.b64decode(row.value)
 
     def forget_history(self) -> None:
-        """Drop all changes so far; those who follow have to read anew."""
+        """Drop all changes so far, so that followers have to read their tables again."""
         self.oldest = self.version
         self.history.clear()
 
@@ -127,7 +128,7 @@
         self.changed = asyncio.Event()
         return self.version
 
-    async def _fault(self, request: web.Request) -> web.Response | None:
+    async def _apply_faults(self, request: web.Request) -> web.Response | None:
         self.calls[request.path] = self.calls.get(request.path, 0) + 1
         if self.faults.silent:
             await asyncio.sleep(3600)
@@ -141,39 +142,39 @@
 
     async def _transact(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        refused = await self._fault(request)
+        refused = await self._apply_faults(request)
         if refused is not None:
             return refused
-        text = base64_free(body)
+        text = decoded_values(body)
         if any(caller in text for caller in self.faults.refused_callers):
             return web.json_response({"error": "turned away"}, status=503)
         if self.random.random() < self.faults.late_share:
-            asyncio.get_running_loop().call_later(self.faults.late_s, self._try, body)
-            await self._stay_silent(request)
-        answer = self._try(body)
+            asyncio.get_running_loop().call_later(self.faults.late_s, self._commit, body)
+            await self._never_respond(request)
+        response = self._commit(body)
         if self.random.random() < self.faults.lose_share:
-            await self._stay_silent(request)
-        return answer
+            await self._never_respond(request)
+        return response
 
-    async def _stay_silent(self, request: web.Request) -> None:
+    async def _never_respond(self, request: web.Request) -> None:
         await asyncio.sleep(3600)
 
-    def _try(self, body: dict[str, Any]) -> web.Response:
-        wanted = [(_place(entry), entry["ver"]) for entry in body["expectedRevision"]]
-        if any(self._version(place) != version for place, version in wanted):
-            found = [self.rows[place].wire() for place, _ in wanted if self._version(place)]
+    def _commit(self, body: dict[str, Any]) -> web.Response:
+        expected = [(_place(entry), entry["ver"]) for entry in body["expectedRevision"]]
+        if any(self._version(place) != version for place, version in expected):
+            found = [self.rows[place].to_wire() for place, _ in expected if self._version(place)]
             return web.json_response({"rows": found}, status=412)
         written = [StoredRow(_place(entry), entry["value"], 0) for entry in body["put"]]
         written += [StoredRow(_place(entry), "", 0, gone=True) for entry in body["remove"]]
         version = self._apply(written) if written else self.version
         return web.json_response({"ver": version, "now_ms": int(monotonic() * 1000)})
 
-    def _version(self, place: Place) -> int:
+    def _version(self, place: RowPlace) -> int:
         row = self.rows.get(place)
         return 0 if row is None or row.gone else row.version
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
-        refused = await self._fault(request)
+        refused = await self._apply_faults(request)
         if refused is not None:
             return refused
         query = request.query
@@ -188,34 +189,34 @@
             key=lambda row: row.place,
         )
         body = {
-            "rows": [request.app[VIEW](row).wire() for row in found[:limit]],
+            "rows": [request.app[ROW_VIEW](row).to_wire() for row in found[:limit]],
             "more": len(found) > limit,
             "ver": self.version,
         }
         return web.json_response(body)
 
     async def _feed(self, request: web.Request) -> web.StreamResponse:
-        refused = await self._fault(request)
+        refused = await self._apply_faults(request)
         if refused is not None:
             return refused
         since = int(request.query["dependsOn"])
-        until = monotonic() + int(request.query["waitMs"]) / 1000
+        wait_ends_at = monotonic() + int(request.query["waitMs"]) / 1000
         while True:
-            if request.query["table"] in self.faults.deaf_tables:
+            if request.query["table"] in self.faults.stalled_feeds:
                 await asyncio.sleep(3600)
             if request.query["table"] in self.faults.refused_tables:
                 return web.json_response({"error": "turned away"}, status=503)
             if since < self.oldest:
                 return web.json_response({"error": "history gone"}, status=410)
             found, version = self._page(request.query["table"], since)
-            left = until - monotonic()
-            if found or left <= 0:
-                shown = [request.app[VIEW](row).wire() for row in found]
+            remaining_s = wait_ends_at - monotonic()
+            if found or remaining_s <= 0:
+                shown = [request.app[ROW_VIEW](row).to_wire() for row in found]
                 return web.json_response({"rows": shown, "ver": version})
             try:
-                await asyncio.wait_for(self.changed.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining_s)
             except TimeoutError:
-                # Nothing changed in the time asked for; an empty answer says so.
+                # Nothing changed in the requested time; the next pass sends an empty response.
                 continue
 
     def _page(self, table: str, since: int) -> tuple[list[StoredRow], int]:
@@ -227,7 +228,7 @@
             if row.place[0] != table:
                 continue
             full = len(page) >= PAGE_ROWS or size + len(row.value) > PAGE_BYTES
-            # Rows that were written together are handed out together.
+            # Rows of one transaction are never split over two pages.
             if page and full and row.version != page[-1].version:
                 return page, page[-1].version
             page.append(row)
@@ -235,11 +236,11 @@
         return page, self.version
 
 
-def base64_free(body: dict[str, Any]) -> str:
-    """Return the decoded values of a transaction, to look for a caller's name in."""
+def decoded_values(body: dict[str, Any]) -> str:
+    """Return the decoded values of a transaction, to search them for a caller's name."""
     values = [base64.b64decode(entry["value"]) for entry in body["put"]]
     return b"".join(values).decode(errors="replace")
 
 
-def _place(entry: dict[str, Any]) -> Place:
+def _place(entry: dict[str, Any]) -> RowPlace:
     return (entry["table"], entry["part"], entry["privateKey"])
--- a/standins/hosted/_workers.py
+++ b/standins/hosted/_workers.py
@@ -1,4 +1,4 @@
-"""A worker's stand-in: leased runs, ends until acknowledged, fencing, orders done late."""
+"""The stand-in for a worker: runs under a lease, acknowledged run ends, fencing, late orders."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from aiohttp import web
 
 from pumicespur.utils import monotonic
-from standins.hosted._serving import Served
+from standins.hosted._serving import AppServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LAST = 10**9
-"""A duration that no test outlives, in seconds."""
+ENDLESS_S = 10**9
+"""Duration longer than any test."""
 
 WORKER_CPU = 4000
-"""Room of a worker, in thousandths of a core."""
+"""Capacity of a new worker, in thousandths of a core."""
 
 CRASHING_PAYLOAD = "crashes"
-"""The first task of each step of a job with this payload brings down the worker that starts it."""
+"""The first task of each step of a job with this payload crashes the worker that starts it."""
 
-FIRST_CLOCK_MS = 10_000_000.0
-"""What the clock of a worker's first life shows at its start; each further one shows less."""
+INITIAL_CLOCK_MS = 10_000_000.0
+"""Clock of a worker's first incarnation at its start; later incarnations start at a lower time."""
 
-CRASH_AFTER_S = 0.01
-"""Time from such a start to the crash; its answer is on its way by then."""
+CRASH_DELAY_S = 0.01
+"""Time from the start of such a task to the crash, so that the start still gets its response."""
 
 
 @dataclass
 class Run:
-    """One run of a task, as its worker saw it."""
+    """One run of a task, as seen by its worker."""
 
     task: str
     number: int
@@ -45,40 +45,43 @@
     checkpoint: str
     token: int
     started_at: float
-    """Monotonic time, as for the end."""
+    """Monotonic time in seconds, as are all times of a run."""
     ended_at: float | None = None
     how: str = ""
+    """How the run ended, empty while it is running."""
     acknowledged_at: float | None = None
-    """When the pool's owner confirmed the end; from then on it stands for good."""
+    """When the pool's owner acknowledged the end, which is final from then on."""
     stop_ordered_at: float | None = None
     ticket: str = ""
-    """The advising service's permission that the start brought."""
+    """The admission ticket of the start order."""
     figure: float = 0.0
-    """What the worker tells of the run: latency in ms or processor use."""
+    """What the worker reports of the run: its latency in ms or its processor use."""
     pace: int = 100
-    """Share of its speed at which the run may work, in percent."""
+    """Throttle of the run: its speed in percent of full speed."""
     since_leaving_s: float | None = None
-    """How long the store had known at the start that the worker leaves; None if it did not."""
+    """How long before the start the worker had published that it leaves; None if it had not."""
 
 
 @dataclass
 class WorkerFaults:
-    """What goes wrong; a test sets it while the worker runs."""
+    """Faults of the worker, which a test sets while it runs."""
 
     silent: bool = False
+    """Whether requests get no response."""
     late_starts_s: float = 0.0
-    """Starts get no answer and are done after this time."""
-    late_starts_unbarred: bool = False
-    """What stops keep late starts from is forgotten by the worker's next life, which does them."""
+    """Start orders get no response and are carried out after this time; 0 for at once."""
+    late_starts_ignore_stops: bool = False
+    """Whether the next incarnation carries out late starts that a stop order had revoked."""
     fail_all: bool = False
+    """Whether all runs that end by themselves fail."""
 
 
-_births = itertools.count(int(time.time() * 1000))
+_start_times_ms = itertools.count(int(time.time() * 1000))
 
 
 @dataclass
 class HostedWorker:
-    """One life of a worker; `history` is shared by all and outlives it."""
+    """One incarnation of a worker; `history` is shared by all workers and outlives them."""
 
     id: str
     pool: str
@@ -87,71 +90,73 @@
     history: list[Run]
     cpu: int = WORKER_CPU
     rooms: list[tuple[float, int]] = field(default_factory=lambda: [(0.0, WORKER_CPU)])
-    """What the room was since when: monotonic time and thousandths of a core."""
+    """Changes of capacity: monotonic time, and from then on thousandths of a core."""
     memory_mb: int = 8000
     task_s: float = 0.05
     faults: WorkerFaults = field(default_factory=WorkerFaults)
     address: str = ""
-    born: int = field(default_factory=lambda: next(_births))
-    """Start of this life, in milliseconds since 1970; no two lives are alike."""
-    next_life: HostedWorker | None = None
-    """The worker that started again under the same id."""
+    born: int = field(default_factory=lambda: next(_start_times_ms))
+    """Start time of this incarnation, in ms since 1970; unique to it."""
+    next_incarnation: HostedWorker | None = None
+    """The worker that was restarted under the same id."""
     highest_token: int = 0
     deadline_ms: float = 0.0
     running: dict[str, Run] = field(default_factory=dict)
     ended: list[list[Any]] = field(default_factory=list)
     refused: dict[str, int] = field(default_factory=dict)
-    """The highest run of each task that was stopped or ended here."""
-    count: int = 0
+    """By task, the highest number of a run that was stopped or has ended here."""
+    last_end_number: int = 0
     alive: bool = True
     leaving_at: float | None = None
-    """When the store took the worker's word that it leaves (monotonic seconds)."""
+    """Monotonic time in seconds at which the worker published that it leaves."""
     clock_rate: float = 1.0
-    """Speed of the worker's own clock; it may run slow."""
-    clock_base_ms: float = FIRST_CLOCK_MS
-    """What the clock showed when its speed last changed."""
+    """Speed of the worker's own clock relative to real time."""
+    clock_base_ms: float = INITIAL_CLOCK_MS
+    """Time of the clock when its speed last changed."""
     clock_set_at: float = field(default_factory=monotonic)
     """Monotonic time of that change, in seconds."""
-    ends: dict[int, Run] = field(default_factory=dict)
-    """Ends that nobody has confirmed yet, by their numbers."""
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    unacknowledged: dict[int, Run] = field(default_factory=dict)
+    """Runs whose end can still be acknowledged, by the number of the end."""
+    run_ended: asyncio.Event = field(default_factory=asyncio.Event)
     on_crash: Callable[[], None] | None = None
-    """Called when a task brings the worker down."""
-    served: Served | None = None
+    """Called when a task crashes the worker."""
+    server: AppServer | None = None
 
     def clock_ms(self) -> float:
-        """Return the worker's own clock."""
+        """Return the time of the worker's own clock."""
         since_ms = (monotonic() - self.clock_set_at) * 1000
         return self.clock_base_ms + since_ms * self.clock_rate
 
     def slow_clock(self, rate: float) -> None:
-        """Let the clock run at another speed from now on, without a step."""
+        """Change the speed of the clock from now on; its time does not jump."""
         self.clock_base_ms = self.clock_ms()
         self.clock_set_at = monotonic()
         self.clock_rate = rate
 
-    def start_again(self) -> HostedWorker:
-        """Make the next life under the same id: it knows nothing, and its clock is set back."""
-        again = HostedWorker(self.id, self.pool, self.instance, self.rack, self.history, self.cpu)
-        again.rooms = self.rooms
-        again.task_s = self.task_s
-        again.clock_base_ms = FIRST_CLOCK_MS / 2
-        self.next_life = again
-        return again
+    def make_next_incarnation(self) -> HostedWorker:
+        """Return the next incarnation: same id, no state, and a clock that is set back."""
+        restarted = HostedWorker(
+            self.id, self.pool, self.instance, self.rack, self.history, self.cpu
+        )
+        restarted.rooms = self.rooms
+        restarted.task_s = self.task_s
+        restarted.clock_base_ms = INITIAL_CLOCK_MS / 2
+        self.next_incarnation = restarted
+        return restarted
 
     async def serve(self, port: int = 0) -> None:
-        """Listen at a port, by default at a free one."""
+        """Listen on a loopback port, by default on a free one."""
         app = web.Application()
         app.router.add_post("/pumicespur/run-start", self._start)
         app.router.add_post("/pumicespur/run-stop", self._stop)
-        app.router.add_post("/pumicespur/hold", self._hold)
-        app.router.add_post("/pumicespur/pace", self._pace)
-        self.served = Served(app)
-        await self.served.open(port)
-        self.address = self.served.address
+        app.router.add_post("/pumicespur/hold", self._renew_lease)
+        app.router.add_post("/pumicespur/pace", self._throttle)
+        self.server = AppServer(app)
+        await self.server.open(port)
+        self.address = self.server.address
 
     def description(self) -> bytes:
-        """Return what the worker keeps in the store about itself."""
+        """Return the worker's entry in the store."""
         return json.dumps(
             {
                 "backend": self.pool,
@@ -167,19 +172,19 @@
         ).encode()
 
     def resize(self, cpu: int) -> None:
-        """Have another room from now on; what runs goes on."""
+        """Change the capacity from now on; present runs continue."""
         self.cpu = cpu
         self.rooms.append((monotonic(), cpu))
 
     async def crash(self) -> None:
-        """End this life with all that it runs."""
+        """End this incarnation and all its runs."""
         self.alive = False
         for run in self.running.values():
             run.ended_at = monotonic()
             run.how = "gone"
         self.running.clear()
-        if self.served is not None:
-            await self.served.close()
+        if self.server is not None:
+            await self.server.close()
 
     def _end(self, run: Run, how: str) -> None:
         if self.running.get(run.task) is not run:
@@ -188,28 +193,28 @@
         run.ended_at = monotonic()
         run.how = how
         self.refused[run.task] = max(run.number, self.refused.get(run.task, 0))
-        self.count += 1
+        self.last_end_number += 1
         checkpoint = f"after-{run.number}" if how == "stopped" else ""
-        self.ends[self.count] = run
-        self.ended.append([self.count, run.task, run.number, how, checkpoint])
-        self.news.set()
-        self.news = asyncio.Event()
+        self.unacknowledged[self.last_end_number] = run
+        self.ended.append([self.last_end_number, run.task, run.number, how, checkpoint])
+        self.run_ended.set()
+        self.run_ended = asyncio.Event()
 
-    def _note_order(self, body: dict[str, Any]) -> web.Response | None:
-        """Refuse an order under an older token; take the deadline of any other."""
+    def _accept_order(self, body: dict[str, Any]) -> web.Response | None:
+        """Refuse an order with an older fencing token; apply the lease deadline of any other."""
         if body.get("fencingToken", 0) < self.highest_token:
             return self._refuse("fence")
         self.highest_token = body.get("fencingToken", 0)
         if self.clock_ms() > self.deadline_ms:
-            # The lease lapsed, so the ends before it can't be confirmed any more.
-            self.ends.clear()
+            # The lease has expired, so earlier ends can't be acknowledged any more.
+            self.unacknowledged.clear()
         self.deadline_ms = max(self.deadline_ms, body.get("deadlineMs") or 0)
         return None
 
     def _refuse(self, reason: str) -> web.Response:
         return web.json_response({"clockMs": self.clock_ms(), "reason": reason}, status=409)
 
-    async def _gate(self, request: web.Request) -> web.Response | None:
+    async def _check_request(self, request: web.Request) -> web.Response | None:
         if self.faults.silent:
             await asyncio.sleep(3600)
         if request.headers.get("X-Pumicespur-Expect-Instance") != self.id:
@@ -218,36 +223,37 @@
 
     async def _start(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        refused = await self._gate(request)
+        refused = await self._check_request(request)
         if refused is not None:
             return refused
         if self.faults.late_starts_s:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.faults.late_starts_s, self._take_late_start, body)
+            loop.call_later(self.faults.late_starts_s, self._process_late_start, body)
             await asyncio.sleep(3600)
-        return self._take_start(body)
+        return self._process_start(body)
 
-    def _take_late_start(self, body: dict[str, Any]) -> None:
-        """Do a start late; if the worker has started again since, its next life does it.
+    def _process_late_start(self, body: dict[str, Any]) -> None:
+        """Carry out a late start order, in the latest incarnation if the worker has restarted.
 
-        What a life was told to refuse is not carried over to the next one, unless a test asks.
+        If a stop order revoked the run in an earlier incarnation, the start is dropped, unless a
+        test sets `late_starts_ignore_stops`.
         """
-        life = self
-        while life.next_life is not None:
-            barred = body["run"] <= life.refused.get(body["task"], 0)
-            if barred and not self.faults.late_starts_unbarred:
+        incarnation = self
+        while incarnation.next_incarnation is not None:
+            revoked = body["run"] <= incarnation.refused.get(body["task"], 0)
+            if revoked and not self.faults.late_starts_ignore_stops:
                 return
-            life = life.next_life
-        if life.alive:
-            life._take_start(body)
+            incarnation = incarnation.next_incarnation
+        if incarnation.alive:
+            incarnation._process_start(body)
 
-    def _take_start(self, body: dict[str, Any]) -> web.Response:
-        refused = self._note_order(body)
+    def _process_start(self, body: dict[str, Any]) -> web.Response:
+        refused = self._accept_order(body)
         if refused is not None:
             return refused
         task, number = body["task"], body["run"]
-        present = self.running.get(task)
-        if present is not None and present.number == number:
+        current = self.running.get(task)
+        if current is not None and current.number == number:
             return web.json_response({"clockMs": self.clock_ms()})
         if number <= self.refused.get(task, 0):
             return self._refuse("old")
@@ -271,16 +277,16 @@
         self.running[run.task] = run
         self.history.append(run)
         loop = asyncio.get_running_loop()
-        if self._brings_down(run) and self.on_crash is not None:
-            loop.call_later(CRASH_AFTER_S, self.on_crash)
+        if self._crashes_worker(run) and self.on_crash is not None:
+            loop.call_later(CRASH_DELAY_S, self.on_crash)
             return
-        lasts_s = LAST if run.payload == "lasts" else self.task_s
-        if lasts_s < LAST:
+        duration_s = ENDLESS_S if run.payload == "lasts" else self.task_s
+        if duration_s < ENDLESS_S:
             how = "failed" if self.faults.fail_all or run.payload == "fails" else "done"
-            loop.call_later(lasts_s, self._end, run, how)
+            loop.call_later(duration_s, self._end, run, how)
         loop.call_later(0.05, self._check_lease)
 
-    def _brings_down(self, run: Run) -> bool:
+    def _crashes_worker(self, run: Run) -> bool:
         return run.payload == CRASHING_PAYLOAD and run.task.endswith(".0")
 
     def _check_lease(self) -> None:
@@ -294,7 +300,7 @@
 
     async def _stop(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        refused = await self._gate(request) or self._note_order(body)
+        refused = await self._check_request(request) or self._accept_order(body)
         if refused is not None:
             return refused
         run = self.running.get(body["task"])
@@ -306,9 +312,9 @@
             self.refused[body["task"]] = max(body["run"], known)
         return web.json_response({"clockMs": self.clock_ms()})
 
-    async def _pace(self, request: web.Request) -> web.StreamResponse:
+    async def _throttle(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        refused = await self._gate(request) or self._note_order(body)
+        refused = await self._check_request(request) or self._accept_order(body)
         if refused is not None:
             return refused
         run = self.running.get(body["task"])
@@ -318,19 +324,19 @@
 
     def _acknowledge(self, number: int) -> None:
         self.ended = [end for end in self.ended if end[0] > number]
-        for confirmed in [n for n in self.ends if n <= number]:
-            self.ends.pop(confirmed).acknowledged_at = monotonic()
+        for confirmed in [n for n in self.unacknowledged if n <= number]:
+            self.unacknowledged.pop(confirmed).acknowledged_at = monotonic()
 
-    async def _hold(self, request: web.Request) -> web.StreamResponse:
+    async def _renew_lease(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        refused = await self._gate(request) or self._note_order(body)
+        refused = await self._check_request(request) or self._accept_order(body)
         if refused is not None:
             return refused
         self._acknowledge(body["lastSeen"])
         if not self.ended and body.get("waitMs"):
-            # If nothing ends in the time asked for, the account is answered all the same.
+            # If no run ends in the requested time, the worker status is sent all the same.
             with contextlib.suppress(asyncio.TimeoutError):
-                await asyncio.wait_for(self.news.wait(), body["waitMs"] / 1000)
+                await asyncio.wait_for(self.run_ended.wait(), body["waitMs"] / 1000)
         running = [[r.task, r.number, "", 100, r.figure] for r in self.running.values()]
         return web.json_response(
             {
--- a/standins/hosted/_world.py
+++ b/standins/hosted/_world.py
@@ -1,4 +1,4 @@
-"""Everything that a test of the role `node` needs: the platform's stand-ins and the nodes."""
+"""The environment of tests of the role `node`: the stand-ins of the platform and the nodes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from standins.hosted._advice import HostedAdvice
 from standins.hosted._fleet import HostedFleet
 from standins.hosted._nodes import NODE_MODULE, Nodes
-from standins.hosted._serving import Served
+from standins.hosted._serving import AppServer
 from standins.hosted._store import HostedStore
 from standins.hosted._workers import HostedWorker, Run
 
@@ -24,15 +24,15 @@
 
     from standins.hosted._nodes import Node
 
-WAIT_S = 20.0
-CHECK_S = 0.02
+WAIT_TIMEOUT_S = 20.0
+CHECK_INTERVAL_S = 0.02
 TASK_S = 0.05
-CRASH_BACK_S = 0.4
-"""Time after which an instance whose worker a task brought down runs another one."""
+CRASH_RESTART_DELAY_S = 0.4
+"""Time until an instance whose worker was crashed by a task runs a worker again."""
 MAX_ATTEMPTS = 3
-"""Failed runs of one task after which its job has failed."""
-LOG_TAIL = 4000
-"""Characters of each node's log that a failed wait shows."""
+"""Failed runs of one task after which its job fails."""
+LOG_TAIL_CHARS = 4000
+"""Characters of each node's log that the error of a failed wait shows."""
 HOST = "jobs.example"
 
 
@@ -47,28 +47,28 @@
         self.node_module = NODE_MODULE
         self.history: list[Run] = []
         self.workers: dict[str, HostedWorker] = {}
-        """The present worker of each instance."""
+        """The current worker of each instance."""
         self.version = 0
-        """Version of the newest configuration."""
+        """Version of the latest configuration."""
         self.accounts: list[dict[str, Any]] = []
-        """The client accounts of the next configuration, as operators write them."""
+        """The client accounts of the next configuration, as the configuration writes them."""
         self.public_routes: frozenset[str] = frozenset()
-        """Routes that need no key although there are accounts."""
-        self.numbers = itertools.count(1)
+        """Routes that need no key even if there are accounts."""
+        self.worker_numbers = itertools.count(1)
         self.task_s = TASK_S
-        """How long a short task of a new worker takes."""
-        self.served: list[Served] = []
+        """Duration of a short task on new workers."""
+        self.servers: list[AppServer] = []
         self.rooms: dict[str, list[tuple[float, int]]] = {}
-        """By worker, also those that are gone: what its room was since when."""
-        self.names_kept = False
-        """Whether workers that a task brings down start again under their names."""
+        """By worker, also those that are gone: its `HostedWorker.rooms`."""
+        self.crashed_workers_keep_ids = False
+        """Whether workers that a task crashes restart under their old ids."""
         self.crashes: set[asyncio.Task[None]] = set()
-        """Workers that a task has brought down and that are not back yet."""
+        """Tasks that crash a worker and start one again."""
         self.session: aiohttp.ClientSession | None = None
         self.addresses: dict[str, str] = {}
 
     async def open(self) -> None:
-        """Serve the store and the list of instances."""
+        """Serve the store, the list of instances and the advice service; write configuration 1."""
         self.session = aiohttp.ClientSession()
         for name, app in (
             ("store", self.store.app()),
@@ -79,14 +79,14 @@
         self.configure(1)
 
     async def serve(self, app: web.Application) -> str:
-        """Serve a stand-in until the world closes; return its address."""
-        served = Served(app)
-        await served.open()
-        self.served.append(served)
-        return served.address
+        """Serve an application until the world closes; return its address."""
+        server = AppServer(app)
+        await server.open()
+        self.servers.append(server)
+        return server.address
 
     async def close(self) -> None:
-        """End all that was started."""
+        """Stop everything that was started."""
         self.nodes.close()
         self.fleet.close()
         for crash in list(self.crashes):
@@ -95,13 +95,13 @@
             await self.session.close()
         for worker in list(self.workers.values()):
             await worker.crash()
-        for served in self.served:
-            await served.close()
+        for server in self.servers:
+            await server.close()
 
     def configure(self, version: int, routes: tuple[str, ...] = ("quick",), **fields: Any) -> None:
-        """Write the operators' configuration with routes to the pool `main`."""
+        """Store a configuration with routes to the pool `main`; each route has `fields` too."""
         self.version = version
-        made = [
+        route_entries = [
             {
                 "name": name,
                 "host": HOST,
@@ -121,25 +121,25 @@
             {"name": "second", "admissionCheck": True},
             {"name": "idle", "spare": True},
         ]
-        content = {"version": version, "routes": made, "services": pools, "limits": {}}
+        content = {"version": version, "routes": route_entries, "services": pools, "limits": {}}
         if self.accounts:
             content["tenants"] = self.accounts
         self.store.put(("op", "", "config"), json.dumps(content).encode())
 
     async def add_worker(self, instance: str, rack: str = "r1-1", pool: str = "main") -> None:
-        """Give an instance a new worker in a pool."""
-        number = next(self.numbers)
+        """Start a new worker on an instance, in a pool."""
+        number = next(self.worker_numbers)
         worker = HostedWorker(f"w-{number}", pool, instance, rack, self.history)
         worker.task_s = self.task_s
-        await self._begin_life(worker)
+        await self._start_incarnation(worker)
         await self.publish(worker)
 
-    async def _begin_life(self, worker: HostedWorker, port: int = 0) -> None:
+    async def _start_incarnation(self, worker: HostedWorker, port: int = 0) -> None:
         worker.on_crash = lambda: self._crash_under_task(worker)
         try:
             await worker.serve(port)
         except OSError:
-            # Somebody else has the port by now; the worker comes back at another one.
+            # The port has been taken meanwhile; the worker uses another one.
             await worker.serve()
         self.workers[worker.instance] = worker
         self.rooms[worker.id] = worker.rooms
@@ -148,57 +148,57 @@
         self.fleet.workers[worker.instance] = worker.id
 
     async def restart_worker(self, instance: str, down_s: float = 0.0, late_s: float = 0.0) -> None:
-        """Let a worker crash and start again under its id, at its address.
+        """Let a worker crash and, `down_s` later, restart under its id and at its address.
 
-        Its entry is the old one for `late_s` longer; below zero the new one is there before the
-        worker listens, by so many seconds.
+        Its entry in the store is updated `late_s` after it listens again; with a negative value,
+        that many seconds before.
         """
         before = self.workers.pop(instance, None)
         if before is None:
             return
-        worker = before.start_again()
+        worker = before.make_next_incarnation()
         await before.crash()
         await asyncio.sleep(down_s)
         worker.address = before.address
-        if late_s < 0 and self._may_begin(worker):
+        if late_s < 0 and self._may_start(worker):
             self.store.put(("servers", "", worker.id), worker.description())
             await asyncio.sleep(-late_s)
-        if not self._may_begin(worker):
+        if not self._may_start(worker):
             self.store.remove(("servers", "", worker.id))
             return
-        await self._begin_life(worker, int(before.address.rpartition(":")[2]))
+        await self._start_incarnation(worker, int(before.address.rpartition(":")[2]))
         await asyncio.sleep(late_s if late_s > 0 else 0)
         if worker.alive:
             await self.publish(worker)
 
-    def _may_begin(self, worker: HostedWorker) -> bool:
-        """Whether a worker's instance runs no other one and is still in its pool."""
+    def _may_start(self, worker: HostedWorker) -> bool:
+        """Return whether a worker's instance is up without a worker and still in its pool."""
         name = worker.instance
         free = name not in self.workers and name not in self.fleet.busy
         return free and self.fleet.pools.get(name) == worker.pool
 
     async def publish(self, worker: HostedWorker) -> None:
-        """Let a new worker write itself into the store."""
+        """Write the entry of a new worker into the store."""
         self.store.put(("servers", "", worker.id), worker.description())
 
     def drain_worker(self, instance: str) -> None:
-        """Let a worker say that it leaves; it serves on."""
+        """Mark a worker as leaving in the store; it continues to serve."""
         worker = self.workers[instance]
         worker.leaving_at = worker.leaving_at or monotonic()
         self.store.put(("servers", "", worker.id), worker.description())
 
     def starts_on_leaving(self, allowed_s: float) -> list[Run]:
-        """Return runs that began later than so long after their worker said that it leaves."""
+        """Return runs that started over `allowed_s` after their worker was marked as leaving."""
         return [run for run in self.history if (run.since_leaving_s or 0.0) > allowed_s]
 
     def resize_worker(self, instance: str, cpu: int) -> None:
-        """Let a worker's room shrink or grow, which its entry shows."""
+        """Change a worker's capacity and its entry in the store."""
         worker = self.workers[instance]
         worker.resize(cpu)
         self.store.put(("servers", "", worker.id), worker.description())
 
     async def crash_worker(self, instance: str) -> None:
-        """End a worker without a word; the store drops its entry."""
+        """Crash a worker without notice; its entry leaves the store."""
         worker = self.workers.pop(instance)
         await worker.crash()
         self.store.remove(("servers", "", worker.id))
@@ -211,32 +211,32 @@
         crash.add_done_callback(self.crashes.discard)
 
     async def _crash_and_return(self, worker: HostedWorker) -> None:
-        if self.names_kept:
-            await self.restart_worker(worker.instance, CRASH_BACK_S)
+        if self.crashed_workers_keep_ids:
+            await self.restart_worker(worker.instance, CRASH_RESTART_DELAY_S)
             return
         pool = worker.pool
         await self.take_down(worker.instance)
-        await asyncio.sleep(CRASH_BACK_S)
+        await asyncio.sleep(CRASH_RESTART_DELAY_S)
         if worker.instance not in self.workers and worker.instance not in self.fleet.busy:
             await self.bring_up(worker.instance, self.fleet.pools.get(worker.instance, pool))
 
     async def take_down(self, instance: str) -> None:
-        """End the worker of an instance, if it has one."""
+        """Crash the worker of an instance, if it has one."""
         self.fleet.workers.pop(instance, None)
         if instance in self.workers:
             await self.crash_worker(instance)
 
     async def bring_up(self, instance: str, pool: str) -> None:
-        """Give an instance a new worker, unless it is spare."""
+        """Start a new worker on an instance, unless the pool is the spare one."""
         if pool != "idle":
             await self.add_worker(instance, self.fleet.racks[instance], pool)
 
     def start_node(self, name: str) -> Node:
-        """Start a node against this platform."""
+        """Start a node that uses these stand-ins."""
         return self.nodes.start(name, self.addresses, self.node_module)
 
     def set_account(self, name: str, *keys: str, weight: float = 10.0, cpu: int = 0) -> None:
-        """Declare an account, or replace what was declared, for the next configuration.
+        """Declare or replace a client account for the next configuration.
 
         `cpu` is its limit in thousandths of a core.
         """
@@ -247,7 +247,7 @@
     async def call(
         self, node: Node, method: str, path: str, body: Any = None, key: str = ""
     ) -> tuple[int, Any]:
-        """Send one caller's request, with a key if one is given; return status and body."""
+        """Send a caller's request, with a key if given; return status (0 on error) and body."""
         assert self.session is not None
         headers = {"Host": HOST, "X-Pumicespur-Deadline-Ms": "3000"}
         if key:
@@ -255,10 +255,10 @@
         try:
             async with self.session.request(
                 method, f"http://{node.address('callers')}{path}", json=body, headers=headers
-            ) as answer:
-                return answer.status, await answer.json(content_type=None)
-        except aiohttp.ClientError as failure:
-            return 0, {"error": str(failure)}
+            ) as response:
+                return response.status, await response.json(content_type=None)
+        except aiohttp.ClientError as error:
+            return 0, {"error": str(error)}
 
     async def submit(
         self, node: Node, job: str, steps: list[dict[str, Any]], payload: str = "quick"
@@ -269,23 +269,23 @@
         return status
 
     async def state(self, node: Node, job: str) -> str:
-        """Return a job's state, or the status if it has none."""
+        """Return a job's state, or the response status if it is not 200."""
         status, body = await self.call(node, "GET", f"/quick/{job}")
         return str(body["state"]) if status == 200 else str(status)
 
     async def wait_state(self, node: Node, job: str, wanted: str) -> None:
-        """Wait until a job is shown in a state."""
-        until = monotonic() + WAIT_S
-        shown = ""
-        while monotonic() < until:
-            shown = await self.state(node, job)
-            if shown == wanted:
+        """Wait until a node reports a job in a state."""
+        deadline = monotonic() + WAIT_TIMEOUT_S
+        job_state = ""
+        while monotonic() < deadline:
+            job_state = await self.state(node, job)
+            if job_state == wanted:
                 return
-            await asyncio.sleep(CHECK_S)
-        raise AssertionError(f"job {job} is shown as {shown}, not {wanted}\n{self._account()}")
+            await asyncio.sleep(CHECK_INTERVAL_S)
+        raise AssertionError(f"job {job} is {job_state}, not {wanted}\n{self._failure_report()}")
 
     async def wait_ready(self, node: Node) -> None:
-        """Wait until a node says that it is ready."""
+        """Wait until a node reports that it is ready."""
 
         async def ready() -> bool:
             assert self.session is not None
@@ -294,34 +294,36 @@
                 return False
             url = f"http://{address}/pumicespur/readiness"
             try:
-                async with self.session.get(url) as answer:
-                    return answer.status == 200
+                async with self.session.get(url) as response:
+                    return response.status == 200
             except aiohttp.ClientError:
-                # It has ended; its log will say why.
+                # The process has ended; the error below shows its log.
                 return False
 
-        until = monotonic() + WAIT_S
+        deadline = monotonic() + WAIT_TIMEOUT_S
         while not await ready():
-            if monotonic() > until:
+            if monotonic() > deadline:
                 raise AssertionError(f"{node.name} is not ready: {node.log.read_text()[-2000:]}")
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    async def wait_for(self, condition: Callable[[], bool], what: str) -> None:
-        """Wait until something holds."""
-        until = monotonic() + WAIT_S
+    async def wait_for(self, condition: Callable[[], bool], description: str) -> None:
+        """Wait until a condition holds."""
+        deadline = monotonic() + WAIT_TIMEOUT_S
         while not condition():
-            if monotonic() > until:
-                raise AssertionError(f"did not come true: {what}\n{self._account()}")
-            await asyncio.sleep(CHECK_S)
+            if monotonic() > deadline:
+                raise AssertionError(f"condition not met: {description}\n{self._failure_report()}")
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _account(self) -> str:
-        """Tell what ran and what the nodes said last, for a test that failed."""
+    def _failure_report(self) -> str:
+        """Return all runs and the ends of the nodes' logs, for the error of a failed wait."""
         runs = "\n".join(str(run) for run in self.history)
-        logs = "\n".join(node.log.read_text()[-LOG_TAIL:] for node in self.nodes.nodes.values())
+        logs = "\n".join(
+            node.log.read_text()[-LOG_TAIL_CHARS:] for node in self.nodes.nodes.values()
+        )
         return f"{runs}\n{logs}"
 
     def overlaps(self) -> list[tuple[Run, Run]]:
-        """Return pairs of runs of one task that were at work at once, or one after a done one."""
+        """Return pairs of runs of one task that overlap or of which the first was completed."""
         found = []
         for first, second in itertools.combinations(self.history, 2):
             if first.task != second.task:
@@ -332,7 +334,7 @@
         return found
 
     def owner(self) -> str:
-        """Return the process that the store names as the owner of the pool `main`."""
+        """Return the process that the store records as owner of the pool `main`, empty for none."""
         value = self.store.value(("owners", "main", "owner"))
         if value is None:
             return ""
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -32,13 +32,13 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
 
-STOP_S = 60.0
-"""Time until a killed process is gone; on a machine with forty busy processes, over 10 s."""
+KILL_TIMEOUT_S = 60.0
+"""A killed process can take over 10 s to disappear on a machine with 40 busy processes."""
 
-WAIT_S = 30.0
-CHECK_S = 0.02
+WAIT_TIMEOUT_S = 30.0
+CHECK_INTERVAL_S = 0.02
 
-QUICK = {
+FAST_SETTINGS = {
     "process": {"heartbeat_s": "0.1", "poll_s": "0.2"},
     "platform": {"timeout_s": "0.5", "writes_per_s": "50"},
     "entry": {"stop_grace_s": "10", "eject_s": "1"},
@@ -50,12 +50,12 @@
         "move_settle_s": "0.5",
     },
 }
-"""Settings that make a test or demo quick."""
+"""Settings with short intervals, so that tests and the demo run fast."""
 
 
 @dataclass
 class Child:
-    """One started process and what it said when it was ready."""
+    """One started process and the fields of the line that it printed once it was ready."""
 
     name: str
     process: subprocess.Popen[str]
@@ -63,16 +63,16 @@
 
     @property
     def url(self) -> str:
-        """Where the process answers its callers."""
+        """URL at which the process serves callers."""
         return f"http://{self.ready['listen']}"
 
     @property
     def admin_url(self) -> str:
-        """Where the process tells its state."""
+        """URL at which the process serves its state dump and metrics."""
         return f"http://{self.ready['admin']}"
 
     def wait_ready(self) -> None:
-        """Read the line that a process prints when it listens."""
+        """Wait for the JSON line that the process prints once it listens, and keep its fields."""
         assert self.process.stdout is not None
         line = self.process.stdout.readline()
         if not line:
@@ -84,19 +84,19 @@
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it is gone."""
         self.process.kill()
-        self.process.wait(STOP_S)
+        self.process.wait(KILL_TIMEOUT_S)
 
     def describe(self) -> dict[str, Any]:
-        """Ask for the state dump."""
+        """Fetch the state dump."""
         with httpx.Client(trust_env=False) as client:
-            answer: dict[str, Any] = client.get(f"{self.admin_url}/dump", timeout=5).json()
-            return answer
+            dump: dict[str, Any] = client.get(f"{self.admin_url}/dump", timeout=5).json()
+            return dump
 
 
 class Launcher:
-    """Starts processes and ends every one of them."""
+    """Starts processes and kills them all on `close`."""
 
     def __init__(self) -> None:
         self.children: list[Child] = []
@@ -104,25 +104,25 @@
         self.error_file = (Path(self._folder.name) / "errors.log").open("w+")
 
     def close(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started and remove their files."""
         for child in self.children:
             if child.process.poll() is None:
                 child.send_signal(signal.SIGCONT)
                 child.process.kill()
         for child in self.children:
-            child.process.wait(STOP_S)
+            child.process.wait(KILL_TIMEOUT_S)
             if child.process.stdout is not None:
                 child.process.stdout.close()
         self.error_file.close()
         self._folder.cleanup()
 
     def errors(self) -> str:
-        """Return all that the processes wrote to their error output."""
+        """Return what all the processes wrote to standard error."""
         self.error_file.flush()
         return (Path(self._folder.name) / "errors.log").read_text()
 
     def start(self, name: str, *arguments: str) -> Child:
-        """Start a Python module as a process; `wait_ready` it later."""
+        """Start a Python module as a process; call `Child.wait_ready` later."""
         process = subprocess.Popen(
             [sys.executable, "-m", *arguments],
             stdout=subprocess.PIPE,
@@ -140,7 +140,7 @@
         return child
 
     def start_backend(self, name: str, work_ms: int = 5, slots: int = 8) -> Child:
-        """Start a backend server stand-in; wait_ready it later."""
+        """Start a backend server stand-in; call `Child.wait_ready` later."""
         options = ("--id", name, "--work-ms", str(work_ms), "--slots", str(slots))
         return self.start(name, "standins.backend", *options)
 
@@ -151,7 +151,7 @@
         platform: Child,
         sections: dict[str, dict[str, str]] | None = None,
     ) -> Child:
-        """Start an entry or a manager; wait_ready it later."""
+        """Start an entry or a manager; call `Child.wait_ready` later."""
         path = self.write_settings(role, name, platform, sections)
         return self.start(name, "pumicespur", role, str(path))
 
@@ -162,7 +162,7 @@
         platform: Child,
         sections: dict[str, dict[str, str]] | None,
     ) -> Path:
-        """Write a settings file with free ports and quick timers, and what `sections` has."""
+        """Write a settings file with free ports, short intervals and the options in `sections`."""
         settings = {
             "process": {
                 "id": name,
@@ -175,7 +175,7 @@
         }
         lines = []
         for section, values in settings.items():
-            merged = QUICK.get(section, {}) | values | (sections or {}).get(section, {})
+            merged = FAST_SETTINGS.get(section, {}) | values | (sections or {}).get(section, {})
             lines.append(f"[{section}]")
             lines += [f"{key} = {value}" for key, value in merged.items()]
         path = Path(self._folder.name) / f"{name}.ini"
@@ -195,22 +195,22 @@
     async def fail(
         self, fault: PlatformFault, *, count: int = 0, delay_ms: int = 0, list_lag_ms: int = 0
     ) -> None:
-        """Set a fault; UNSPECIFIED lifts it."""
+        """Set a fault; `UNSPECIFIED` lifts the present one."""
         request = SetFaultRequest(
             fault=fault, count=count, delay_ms=delay_ms, list_lag_ms=list_lag_ms
         )
         await self.stub.set_fault(request)
 
-    async def restart(self, away_ms: int) -> None:
-        """Let the platform close every connection and stay away for a while."""
-        await self.stub.set_fault(SetFaultRequest(restart_ms=away_ms))
+    async def restart(self, down_ms: int) -> None:
+        """Let the platform close every connection and be down for `down_ms`."""
+        await self.stub.set_fault(SetFaultRequest(restart_ms=down_ms))
 
-    async def heal(self) -> None:
+    async def lift_faults(self) -> None:
         """Lift every fault."""
         await self.fail(PlatformFault.UNSPECIFIED)
 
     async def add(self, backends: Sequence[Child], places: Sequence[tuple[str, str]]) -> None:
-        """List backends as live instances at the given data halls and racks."""
+        """List backend servers as live instances at the given pairs of data hall and rack."""
         request = AddInstancesRequest()
         for child, (hall, rack) in zip(backends, places, strict=True):
             request.instances.append(
@@ -229,11 +229,11 @@
         await self.stub.add_instances(request)
 
     async def history(self) -> HistoryResponse:
-        """Ask for all that happened."""
+        """Fetch the events and records so far."""
         return await self.stub.history(Empty())
 
     async def records(self) -> list[Record]:
-        """Ask for the log."""
+        """Fetch the log's records."""
         return list((await self.history()).records)
 
 
@@ -251,16 +251,16 @@
         await self.stub.give(order)
 
     async def inspect(self) -> BackendState:
-        """Ask for the state and the runs so far."""
+        """Fetch the state and the runs so far."""
         return await self.stub.inspect(Empty())
 
 
 async def wait_until(
-    holds: Callable[[], Awaitable[bool]], what: str, limit_s: float = WAIT_S
+    condition: Callable[[], Awaitable[bool]], description: str, limit_s: float = WAIT_TIMEOUT_S
 ) -> None:
-    """Wait until a condition holds; raise TimeoutError that names it otherwise."""
+    """Wait until a condition holds; raise TimeoutError with its description after `limit_s`."""
     end = monotonic() + limit_s
-    while not await holds():
+    while not await condition():
         if monotonic() > end:
-            raise TimeoutError(f"waited {limit_s:g} s for: {what}")
-        await anyio.sleep(CHECK_S)
+            raise TimeoutError(f"waited {limit_s:g} s for: {description}")
+        await anyio.sleep(CHECK_INTERVAL_S)
--- a/standins/model.py
+++ b/standins/model.py
@@ -1,7 +1,7 @@
-"""A fake of the platform inside one process, for decisions alone: no time, no network.
+"""An in-process fake of the platform that tests planning decisions without time or network.
 
-Each round it takes the orders that the state asks for and carries them out some rounds
-later. Decisions are real; only their effects are faked.
+Each round it carries out the orders that the fleet's state implies; their effects show some rounds
+later. The decisions are real, only their effects are simulated.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass
 class FakeInstance:
-    """What the fake platform knows of an instance."""
+    """The fake platform's state of one instance."""
 
     listed: ListedInstance
     down_until: int = -1
@@ -40,7 +40,7 @@
 
 @dataclass
 class ModelPlatform:
-    """Runs rounds of decisions against instances that obey after a while."""
+    """Runs planning rounds against simulated instances, which carry out orders with a delay."""
 
     fleet: Fleet = field(default_factory=Fleet)
     instances: dict[str, FakeInstance] = field(default_factory=dict)
@@ -50,7 +50,7 @@
     reboot_rounds: int = 3
     round: int = 0
     records: int = 0
-    taken: set[str] = field(default_factory=set)
+    carried_out: set[str] = field(default_factory=set)
     missing: dict[str, int] = field(default_factory=dict)
     never_back: set[str] = field(default_factory=set)
     usage: UsageTracker = field(default_factory=UsageTracker)
@@ -93,7 +93,7 @@
         }
 
     def in_service(self, pool: Pool) -> int:
-        """Count a pool's instances that really take work."""
+        """Count a pool's instances that are up and serving."""
         up = self.listed()
         return sum(
             1
@@ -104,22 +104,22 @@
         )
 
     def step(self) -> Record | None:
-        """Decide one round and carry its orders out; return the record."""
+        """Plan one round, apply its record and carry out its orders; return the record, if any."""
         self.round += 1
-        known = self._look()
-        self.last = self.decide(known)
+        state = self._plan_input()
+        self.last = self.decide(state)
         record = self.last.record()
         if record is not None:
             record.revision = self.fleet.revision + 1
-            record.at_ms = known.now_ms
+            record.at_ms = state.now_ms
             self.fleet.apply(record)
             self.records += 1
         for assignment in self.fleet.assignments.values():
-            self._obey(assignment)
+            self._carry_out_orders(assignment)
         return record
 
     def run(self, rounds: int) -> Iterable[int]:
-        """Step until no wave runs, yielding after each round."""
+        """Step until no wave runs, for at most `rounds`, yielding after each round."""
         for number in range(rounds):
             self.step()
             yield number
@@ -127,22 +127,23 @@
             if WavePhase.RUNNING not in phases:
                 return
 
-    def _look(self) -> PlanInput:
+    def _plan_input(self) -> PlanInput:
         listed = self.listed()
-        gone = self.fleet.assignments.keys() - listed.keys()
-        self.missing = {name: self.missing.get(name, self.round) for name in gone}
-        limit = int(self.settings.missing_s)
-        reboot = int(self.settings.reboot_timeout_s)
+        unlisted = self.fleet.assignments.keys() - listed.keys()
+        self.missing = {name: self.missing.get(name, self.round) for name in unlisted}
+        missing_rounds = int(self.settings.missing_s)
+        reboot_timeout_rounds = int(self.settings.reboot_timeout_s)
         missing = {
             InstanceId(name)
             for name, since in self.missing.items()
-            if self.round - since > limit + reboot * self._is_rebooting(name)
+            if self.round - since
+            > missing_rounds + reboot_timeout_rounds * self._is_rebooting(name)
         }
         return PlanInput(
             fleet=self.fleet,
             listed=listed,
-            acknowledged=frozenset(self.taken),
-            propagated=frozenset(self.taken),
+            acknowledged=frozenset(self.carried_out),
+            propagated=frozenset(self.carried_out),
             missing=frozenset(missing),
             now_ms=START_MS + self.round * ROUND_MS,
             settings=self.settings,
@@ -152,30 +153,30 @@
     def _is_rebooting(self, name: str) -> bool:
         return self.fleet.assignments[InstanceId(name)].state is InstanceState.MAINTAINING
 
-    def _obey(self, assignment: Assignment) -> None:
+    def _carry_out_orders(self, assignment: Assignment) -> None:
         instance = self.instances.get(assignment.instance)
         if instance is None or assignment.state is InstanceState.SERVING:
             return
         token = assignment.token
         match assignment.state:
             case InstanceState.DRAINING:
-                self.taken.add(token)
+                self.carried_out.add(token)
                 instance.listed.drained = True
-            case InstanceState.MAINTAINING if f"{token}/reboot" not in self.taken:
-                self.taken.add(f"{token}/reboot")
+            case InstanceState.MAINTAINING if f"{token}/reboot" not in self.carried_out:
+                self.carried_out.add(f"{token}/reboot")
                 instance.down_until = self.round + self.reboot_rounds
                 instance.dead = assignment.instance in self.never_back
                 instance.listed.boot = str(int(instance.listed.boot) + 1)
                 instance.listed.drained = False
             case InstanceState.RETURNING:
-                self.taken.add(f"{token}/resume")
+                self.carried_out.add(f"{token}/resume")
                 instance.listed.drained = False
 
 
 def build(
     pools: Iterable[tuple[Pool, int]], racks: int = 4, halls: int = 2, **options: object
 ) -> ModelPlatform:
-    """Build a fleet whose pools are full, spread over racks and data halls in turn."""
+    """Build a fleet of full pools whose instances are spread round-robin over racks and halls."""
     model = ModelPlatform(**options)  # type: ignore[arg-type]
     numbers = itertools.count()
     for pool, size in pools:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,8 @@
 """A stand-in for the platform: table service, object store, instance list and orders.
 
-One process that keeps everything in memory. Faults are set over a second port. It notes
-what happened to instances, so that a test can judge promises without the system's view.
+One process that keeps everything in memory; a second port sets faults. It keeps a history of what
+happened to the instances, so that a test can check guarantees without relying on the system's own
+view.
 """
 
 from __future__ import annotations
@@ -44,25 +45,25 @@
     from collections.abc import Callable
     from typing import TypeVar
 
-    Answer = TypeVar("Answer")
+    Response = TypeVar("Response")
 
-INSPECT_S = 0.05
+INSPECT_INTERVAL_S = 0.05
 LOG_PREFIX = "log/"
 
 
 @dataclass
 class KnownInstance:
-    """One instance: what it is, where its stand-in takes orders, and what it runs."""
+    """One instance: its list entry, the client of its stand-in's control port, and its tasks."""
 
     listed: pb.ListedInstance
-    # None for an instance that is only listed and takes no orders.
+    # None for an instance that is only listed and accepts no orders.
     control: BackendControlClient | None
     tasks: dict[str, Resources] = field(default_factory=dict)
     up: bool = True
 
 
 class State:
-    """Everything that the platform keeps."""
+    """The platform's state: rows, objects, instances, faults and the history."""
 
     def __init__(self, reboot_ms: int) -> None:
         self.reboot_ms = reboot_ms
@@ -106,13 +107,15 @@
 
 
 class Service(Platform):
-    """The platform's calls, each through the fault that is set."""
+    """The platform's calls, each subject to the current fault."""
 
     def __init__(self, state: State) -> None:
         self.state = state
 
-    async def faulty(self, act: Callable[[], Answer], *, write: bool = False) -> Answer:
-        """Carry out a call under the current fault."""
+    async def call_under_fault(
+        self, operation: Callable[[], Response], *, write: bool = False
+    ) -> Response:
+        """Carry out a call under the current fault; count it as a read or a write."""
         state = self.state
         if write:
             state.writes += 1
@@ -126,14 +129,14 @@
         if fault is PlatformFault.HANG:
             await state.fault_changed.wait()
             raise ConnectError(Code.UNAVAILABLE, "hung until the fault was lifted")
-        answer = act()
+        response = operation()
         if fault is PlatformFault.LOSE_ANSWERS and write:
             self.count_fault()
             raise ConnectError(Code.UNAVAILABLE, "answer lost by order")
-        return answer
+        return response
 
     def count_fault(self) -> None:
-        """Lift a counted fault after its last time."""
+        """Count one use of a counted fault and lift it after its last use."""
         if self.state.fault.count:
             self.state.faults_left -= 1
             if self.state.faults_left <= 0:
@@ -141,7 +144,7 @@
 
     async def transact(self, request: pb.TransactRequest, ctx: object, /) -> pb.TransactResponse:
         """Write rows together if all conditions hold."""
-        return await self.faulty(lambda: self._transact(request), write=True)
+        return await self.call_under_fault(lambda: self._transact(request), write=True)
 
     def _transact(self, request: pb.TransactRequest) -> pb.TransactResponse:
         state = self.state
@@ -153,13 +156,13 @@
     async def read(self, request: pb.ReadRequest, ctx: object, /) -> pb.ReadResponse:
         """Read rows by key."""
         rows = self.state.rows
-        return await self.faulty(
+        return await self.call_under_fault(
             lambda: pb.ReadResponse(rows=[rows.get(key, pb.Row(key=key)) for key in request.keys])
         )
 
     async def scan(self, request: pb.ScanRequest, ctx: object, /) -> pb.ScanResponse:
         """Read rows by prefix, in key order."""
-        return await self.faulty(lambda: self._scan(request))
+        return await self.call_under_fault(lambda: self._scan(request))
 
     def _scan(self, request: pb.ScanRequest) -> pb.ScanResponse:
         keys = self.state.keys
@@ -174,38 +177,38 @@
     async def put_object(self, request: pb.ObjectRequest, ctx: object, /) -> pb.ObjectResponse:
         """Store an object."""
 
-        def act() -> pb.ObjectResponse:
+        def operation() -> pb.ObjectResponse:
             self.state.objects[request.name] = request.content
             return pb.ObjectResponse(found=True)
 
-        return await self.faulty(act, write=True)
+        return await self.call_under_fault(operation, write=True)
 
     async def get_object(self, request: pb.ObjectRequest, ctx: object, /) -> pb.ObjectResponse:
         """Fetch an object."""
 
-        def act() -> pb.ObjectResponse:
+        def operation() -> pb.ObjectResponse:
             content = self.state.objects.get(request.name)
             return pb.ObjectResponse(found=content is not None, content=content or b"")
 
-        return await self.faulty(act)
+        return await self.call_under_fault(operation)
 
     async def list_instances(
         self, request: pb.ListInstancesRequest, ctx: object, /
     ) -> pb.ListInstancesResponse:
-        """List instances as they were some time ago."""
-        return await self.faulty(self._list_instances)
+        """List instances as they were `list_lag_ms` ago."""
+        return await self.call_under_fault(self._list_instances)
 
     def _list_instances(self) -> pb.ListInstancesResponse:
         now = monotonic()
-        newest = now - self.state.fault.list_lag_ms / 1000
-        old = [item for item in self.state.lists if item[0] <= newest]
-        taken_at, instances = old[-1] if old else (now, [])
-        age_ms = int((now - taken_at) * 1000) + 1
+        latest_shown = now - self.state.fault.list_lag_ms / 1000
+        old_enough = [item for item in self.state.lists if item[0] <= latest_shown]
+        listed_at, instances = old_enough[-1] if old_enough else (now, [])
+        age_ms = int((now - listed_at) * 1000) + 1
         return pb.ListInstancesResponse(instances=instances, age_ms=age_ms)
 
     async def give_order(self, request: pb.OrderRequest, ctx: object, /) -> pb.OrderResponse:
-        """Carry out an order unless its token was carried out before."""
-        instance = await self.faulty(lambda: self.state.instances.get(request.instance))
+        """Carry out an order unless one with this token was carried out before."""
+        instance = await self.call_under_fault(lambda: self.state.instances.get(request.instance))
         if instance is None:
             raise ConnectError(Code.NOT_FOUND, f"no instance {request.instance!r}")
         if request.token not in self.state.tokens:
@@ -236,7 +239,7 @@
 
     async def run_task(self, request: pb.TaskRequest, ctx: object, /) -> pb.TaskResponse:
         """Start or stop a task on an instance."""
-        return await self.faulty(lambda: self._run_task(request))
+        return await self.call_under_fault(lambda: self._run_task(request))
 
     def _run_task(self, request: pb.TaskRequest) -> pb.TaskResponse:
         instance = self.state.instances.get(request.instance)
@@ -261,17 +264,17 @@
     async def list_usage(
         self, request: pb.ListUsageRequest, ctx: object, /
     ) -> pb.ListUsageResponse:
-        """List what each task uses."""
+        """List the resources that each task uses."""
         tasks = [
             pb.TaskUsage(instance=name, task=task, used=needs)
             for name, instance in self.state.instances.items()
             for task, needs in instance.tasks.items()
         ]
-        return await self.faulty(lambda: pb.ListUsageResponse(tasks=tasks, age_ms=1))
+        return await self.call_under_fault(lambda: pb.ListUsageResponse(tasks=tasks, age_ms=1))
 
 
 class Control(PlatformControl):
-    """The orders that tests give."""
+    """The control interface, used by tests."""
 
     def __init__(self, state: State) -> None:
         self.state = state
@@ -287,7 +290,7 @@
         return Empty()
 
     async def add_instances(self, request: AddInstancesRequest, ctx: object, /) -> Empty:
-        """Add instances to the list, or take them from it."""
+        """Add instances to the list or remove them from it."""
         for listed in request.instances:
             control = request.controls.get(listed.id)
             self.state.instances[listed.id] = KnownInstance(listed, self._client(control))
@@ -303,7 +306,7 @@
         return BackendControlClient(f"http://{control}", http_client=client)
 
     async def history(self, request: Empty, ctx: object, /) -> HistoryResponse:
-        """Tell all that happened."""
+        """Return all events, the log's records and the counts of reads and writes."""
         rows = self.state.rows
         records = [
             Record.from_binary(rows[key].value)
@@ -319,24 +322,24 @@
 
 
 async def inspect(state: State, instance: KnownInstance) -> pb.ListedInstance | None:
-    """Ask an instance how it is; None if it does not answer."""
+    """Poll an instance; return its list entry, or None if it is down."""
     listed = instance.listed
     if instance.control is None:
         return listed
     try:
-        seen = await instance.control.inspect(Empty(), timeout_ms=500)
+        reported = await instance.control.inspect(Empty(), timeout_ms=500)
     except ConnectError:
-        seen = BackendState(down=True)
-    if seen.down:
+        reported = BackendState(down=True)
+    if reported.down:
         if instance.up:
             state.note("down", listed.id)
         instance.up = False
         return None
     instance.up = True
-    if listed.boot != seen.boot:
-        state.note("up", listed.id, seen.boot)
-    drained = seen.draining and not seen.running and not instance.tasks
-    listed.boot = seen.boot
+    if listed.boot != reported.boot:
+        state.note("up", listed.id, reported.boot)
+    drained = reported.draining and not reported.running and not instance.tasks
+    listed.boot = reported.boot
     return pb.ListedInstance.from_binary(
         pb.ListedInstance(
             id=listed.id,
@@ -346,7 +349,7 @@
             address=listed.address,
             resources=listed.resources,
             liveness=pb.Liveness.LIVE,
-            boot=seen.boot,
+            boot=reported.boot,
             drained=drained,
             slots=listed.slots,
         ).to_binary()
@@ -354,35 +357,35 @@
 
 
 async def inspect_all(state: State) -> None:
-    """Take a new list of live instances."""
+    """Poll all instances and store a new list of the live ones."""
     found: list[pb.ListedInstance] = []
 
-    async def one(instance: KnownInstance) -> None:
+    async def inspect_one(instance: KnownInstance) -> None:
         listed = await inspect(state, instance)
         if listed is not None:
             found.append(listed)
 
-    taken_at = monotonic()
+    listed_at = monotonic()
     async with anyio.create_task_group() as tasks:
         for instance in state.instances.values():
-            tasks.start_soon(one, instance)
-    state.lists.append((taken_at, found))
+            tasks.start_soon(inspect_one, instance)
+    state.lists.append((listed_at, found))
 
 
-async def watch(state: State) -> None:
-    """Take new lists all the time."""
+async def refresh_list(state: State) -> None:
+    """Refresh the list of live instances periodically."""
     while True:
         await inspect_all(state)
-        await anyio.sleep(INSPECT_S)
+        await anyio.sleep(INSPECT_INTERVAL_S)
 
 
 async def serve_calls(state: State, bound: socket.socket) -> None:
-    """Serve the platform's calls, with the restarts that are ordered."""
+    """Serve the platform's calls; stop and serve again for each ordered restart."""
     service = PlatformASGIApplication(Service(state))
     address = bound_address(bound)
     while True:
         await serve_app(service, hypercorn_config(bound), state.restarting.wait)
-        # Hypercorn has closed the descriptor by now.
+        # Hypercorn has closed the descriptor already.
         bound.detach()
         await anyio.sleep(state.fault.restart_ms / 1000)
         state.restarting = anyio.Event()
@@ -401,7 +404,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve_calls, state, calls)
         tasks.start_soon(serve_app, control, hypercorn_config(orders))
-        tasks.start_soon(watch, state)
+        tasks.start_soon(refresh_list, state)
         ready = {
             "process": "platform",
             "listen": "{}:{}".format(*calls.getsockname()),
--- a/standins/suspendable.py
+++ b/standins/suspendable.py
@@ -1,7 +1,8 @@
-"""The role `node` on a machine that can be suspended: its steady clock leaves such times out.
+"""The role `node` on a machine that can be suspended: its monotonic clock omits suspensions.
 
-Run as `python -m standins.suspendable` in place of the role's own module. The process is stopped
-meanwhile, which by itself no clock leaves out; a file beside the settings tells since when.
+Run as `python -m standins.suspendable` in place of the role's own module. A suspension is simulated
+by SIGSTOP, during which the real monotonic clock goes on; a marker file beside the settings file
+holds the time at which the suspension began.
 """
 
 from __future__ import annotations
@@ -9,8 +10,8 @@
 import signal
 
 if __name__ == "__main__":
-    # As the role's own module does: a process that still loads has nothing to read again. This
-    # module lies in a package that loads nothing, so that the signal can't come before.
+    # Like the role's own module: a process that is still loading has no settings to reload. This
+    # module's package imports nothing, so that no signal arrives before this line.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import os
@@ -19,41 +20,41 @@
 from pathlib import Path
 
 SETTINGS_VARIABLE = "PUMICESPUR_NODE_FILE"
-MARK_SUFFIX = ".suspended"
-"""Ending of the file that holds the steady time at which a suspension began."""
+MARKER_SUFFIX = ".suspended"
+"""Suffix of the marker file, which holds the monotonic time at which a suspension began."""
 
-SYSTEM_MONOTONIC = time.monotonic  # noqa: TID251 - the clock that is changed here
+SYSTEM_MONOTONIC = time.monotonic  # noqa: TID251 - the clock that is replaced here
 
 
 class SuspendableClock:
-    """The system's steady clock without the times for which the process was suspended."""
+    """The system's monotonic clock minus the time for which the process was suspended."""
 
-    def __init__(self, mark: Path) -> None:
-        self.mark = mark
-        self.left_out_s = 0.0
+    def __init__(self, marker: Path) -> None:
+        self.marker = marker
+        self.suspended_s = 0.0
 
     def monotonic(self) -> float:
-        """Return the seconds that the clock shows."""
-        return SYSTEM_MONOTONIC() - self.left_out_s
+        """Return the time in seconds."""
+        return SYSTEM_MONOTONIC() - self.suspended_s
 
-    def note_resumed(self, *_: object) -> None:
-        """Leave out the suspension that is over; a mere pause has no mark."""
-        if self.mark.exists():
-            self.left_out_s += SYSTEM_MONOTONIC() - float(self.mark.read_text())
-            self.mark.unlink()
+    def on_resume(self, *_: object) -> None:
+        """Omit the suspension that just ended; a mere SIGSTOP leaves no marker file."""
+        if self.marker.exists():
+            self.suspended_s += SYSTEM_MONOTONIC() - float(self.marker.read_text())
+            self.marker.unlink()
 
 
-def install(mark: Path) -> None:
-    """Give this process a clock that can be suspended."""
-    clock = SuspendableClock(mark)
-    time.monotonic = clock.monotonic  # noqa: TID251 - the clock that is changed here
-    signal.signal(signal.SIGCONT, clock.note_resumed)
+def install(marker: Path) -> None:
+    """Replace this process's monotonic clock by one that can be suspended."""
+    clock = SuspendableClock(marker)
+    time.monotonic = clock.monotonic  # noqa: TID251 - the clock that is replaced here
+    signal.signal(signal.SIGCONT, clock.on_resume)
 
 
 def main() -> int:
     """Run the role with the settings that the environment names; return the exit status."""
-    install(Path(os.environ[SETTINGS_VARIABLE]).with_suffix(MARK_SUFFIX))
-    # The program is loaded only with the clock in place.
+    install(Path(os.environ[SETTINGS_VARIABLE]).with_suffix(MARKER_SUFFIX))
+    # Imported only after the clock is replaced.
     from pumicespur.commands import node
 
     return node.main()
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -27,7 +27,7 @@
     WaveAction,
     WaveRequest,
 )
-from standins.checker import lowest_availability, pool_clashes
+from standins.checker import lowest_availability, undrained_moves
 from standins.launcher import BackendOrders, Child, wait_until
 from standins.schema.standins_pb import HistoryEvent, PlatformFault
 from tests.base import ClusterCase, make_pool, make_wave, one_pool, outcome_of
@@ -91,7 +91,7 @@
         history = await self.orders.history()
         for pool, seen in lowest_availability(history).items():
             self.assertGreaterEqual(seen.lowest, seen.minimum, pool)
-        self.assertEqual(pool_clashes(history), [])
+        self.assertEqual(undrained_moves(history), [])
         done = [event for event in history.events if event.kind == "order-reboot"]
         self.assertEqual(len(done), reboots)
         self.assertEqual(len({event.token for event in done}), reboots)
@@ -225,7 +225,7 @@
         history = await self.orders.history()
         seen = lowest_availability(history)["issuance"]
         self.assertGreaterEqual(seen.lowest, seen.minimum)
-        self.assertEqual(pool_clashes(history), [])
+        self.assertEqual(undrained_moves(history), [])
 
     async def test_a_wave_halts_when_its_instances_do_not_come_back(self) -> None:
         quick = {"reboot_timeout_s": "1", "missing_s": "600"}
@@ -256,7 +256,7 @@
             for _ in range(5):
                 answer = await self.http.get(f"{self.entries[0].url}/issuance/x")
                 self.assertEqual(answer.status_code, 200)
-            await self.orders.heal()
+            await self.orders.lift_faults()
         await self.wait_phase(WavePhase.DONE)
         await self.assert_promises()
 
@@ -279,7 +279,7 @@
         before = len(await self.orders.records())
         await anyio.sleep(0.5)  # long enough for several rounds, were they to start
         self.assertEqual(len(await self.orders.records()), before)
-        await self.orders.heal()
+        await self.orders.lift_faults()
         await self.act(WaveAction.START)
         await self.wait_phase(WavePhase.DONE)
         await self.assert_promises()
@@ -300,7 +300,7 @@
         with self.assertRaises(UnreachableError) as caught:
             await self.apply(declaration)
         self.assertIn("nothing was changed", str(caught.exception))
-        await self.orders.heal()
+        await self.orders.lift_faults()
         self.assertFalse([r for r in await self.orders.records() if puts(r, "late")])
 
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -102,7 +102,7 @@
     """The workers that it brings down start again under their names."""
 
     async def test_it_is_given_up_and_its_neighbours_are_not(self) -> None:
-        self.world.names_kept = True
+        self.world.crashed_workers_keep_ids = True
         await self.check_outcome(await self.submit_all())
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -273,7 +273,7 @@
         await self.check_moved_on(job)
 
     async def test_a_list_is_read_anew_in_time_when_its_changes_stay_silent(self) -> None:
-        deaf = self.world.store.faults.deaf_tables
+        deaf = self.world.store.faults.stalled_feeds
         await self.leave_unheard(deaf)
         await asyncio.sleep(DRAIN_S + 0.1)
         await self.check_moved_on(await self.submit(3))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from pumicespur.schema.jobs_pb import HeartbeatRecord
-from standins.hosted import NODE_MODULE, VALID_MS, World
+from standins.hosted import NODE_MODULE, TICKET_VALIDITY_MS, World
 from tests.base import quiet_loop
 
 STEP = {"count": 3, "cpu": 500, "memMb": 100, "estimatedMs": 50}
@@ -435,7 +435,7 @@
     """A route whose steps run only where the placement advice permits it."""
 
     async def test_each_start_carries_a_ticket_for_its_step_and_worker(self) -> None:
-        advice = {"decide_ms": 1, "each_ms": 0, "valid_ms": VALID_MS}
+        advice = {"decide_ms": 1, "each_ms": 0, "valid_ms": TICKET_VALIDITY_MS}
         ruled_out = self.world.workers["m-0"].id
         self.world.advice.ruled_out.add(ruled_out)
         self.world.configure(2, advice=advice)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -184,7 +184,7 @@
             model.step()
         pools = Counter(a.pool for a in model.fleet.assignments.values())
         self.assertEqual(pools, {"a": 4, SPARE_POOL: 1})
-        self.assertEqual(model.taken, set())
+        self.assertEqual(model.carried_out, set())
 
     def test_a_pool_gives_up_only_what_it_has_beyond_its_size(self) -> None:
         model = build([(make_pool("a", 3, 3), 5), (make_pool("b", 4, 2), 1)])
--- a/tests/test_request_path.py
+++ b/tests/test_request_path.py
@@ -142,7 +142,7 @@
                 self.assertIn("retry-after", response.headers)
                 live = await self.http.get(f"{self.entries[0].url}/issuance/x")
                 self.assertEqual(live.status_code, 200)
-                await self.orders.heal()
+                await self.orders.lift_faults()
                 self.assertEqual(await self.runs(f"k{fault}"), 0)
 
     async def test_a_claim_whose_response_was_lost_is_resolved(self) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -120,7 +120,7 @@
     async def test_the_next_life_is_kept_from_it_too(self) -> None:
         worker = self.world.workers["m-0"]
         worker.faults.late_starts_s = 3.0
-        worker.faults.late_starts_unbarred = True
+        worker.faults.late_starts_ignore_stops = True
         await self.world.submit(self.node, job_id(702), [LASTING], payload="lasts")
         await self.world.wait_for(lambda: bool(worker.refused), "the start is barred")
         self.world.resize_worker("m-0", LONE["cpu"] // 2)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Tests of how the stand-ins are served."""
+"""Tests of the server of the stand-ins."""
 
 from __future__ import annotations
 
@@ -8,42 +8,44 @@
 import aiohttp
 from aiohttp import web
 
-from standins.hosted._serving import SHUTDOWN_S, Served
+from standins.hosted._serving import SHUTDOWN_TIMEOUT_S, AppServer
 from tests.base import quiet_loop
 
-TRIES = 40
+ATTEMPTS = 40
 STEP_S = 0.00001
-"""By how much the request ends later from one try to the next; a loop's step takes some of them."""
+"""Step by which each attempt's request ends later; one pass of the event loop takes several."""
 
 
-class ServedTest(unittest.IsolatedAsyncioTestCase):
-    """A stand-in that ends under an open request."""
+class AppServerTest(unittest.IsolatedAsyncioTestCase):
+    """A stand-in that closes while a request is open."""
 
     async def asyncSetUp(self) -> None:
         quiet_loop()
 
-    async def test_a_request_that_ends_as_the_stand_in_does_raises_nothing(self) -> None:
+    async def test_a_request_that_ends_during_close_logs_no_error(self) -> None:
         async with aiohttp.ClientSession() as session:
             with self.assertNoLogs("aiohttp.server", "ERROR"):
-                for number in range(-TRIES // 2, TRIES // 2):
-                    await self._end_under_request(session, SHUTDOWN_S + number * STEP_S)
+                for number in range(-ATTEMPTS // 2, ATTEMPTS // 2):
+                    await self._close_during_request(session, SHUTDOWN_TIMEOUT_S + number * STEP_S)
 
-    async def _end_under_request(self, session: aiohttp.ClientSession, after_s: float) -> None:
-        asked, ended = asyncio.Event(), asyncio.Event()
+    async def _close_during_request(
+        self, session: aiohttp.ClientSession, respond_after_s: float
+    ) -> None:
+        received, may_respond = asyncio.Event(), asyncio.Event()
 
-        async def answer(request: web.Request) -> web.Response:
-            asked.set()
-            await ended.wait()
+        async def respond(request: web.Request) -> web.Response:
+            received.set()
+            await may_respond.wait()
             return web.Response()
 
         app = web.Application()
-        app.router.add_get("/", answer)
-        served = Served(app)
-        await served.open()
-        call = asyncio.create_task(self._call(session, served.address))
-        await asked.wait()
-        asyncio.get_running_loop().call_later(after_s, ended.set)
-        await served.close()
+        app.router.add_get("/", respond)
+        server = AppServer(app)
+        await server.open()
+        call = asyncio.create_task(self._call(session, server.address))
+        await received.wait()
+        asyncio.get_running_loop().call_later(respond_after_s, may_respond.set)
+        await server.close()
         await call
 
     async def _call(self, session: aiohttp.ClientSession, address: str) -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -110,7 +110,7 @@
         await self.orders.fail(PlatformFault.HANG)
         hung = await replica.store.append(by("ann"), head)
         self.assertIsInstance(hung.error, Uncertain)
-        await self.orders.heal()
+        await self.orders.lift_faults()
         self.child.kill()
         refused = await replica.store.append(by("ann"), head)
         self.assertIsInstance(refused.error, Unavailable)
