--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measure: `make bench`."""
+"""Benchmarks; run them with `make bench`."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -22,13 +22,13 @@
 
 
 def main() -> None:
-    """Run benchmarks one after the other."""
+    """Run the benchmarks one after the other."""
     for name in sys.argv[1:] or BENCHMARKS:
-        act = BENCHMARKS[name]
-        if inspect.iscoroutinefunction(act):
-            anyio.run(act)
+        benchmark = BENCHMARKS[name]
+        if inspect.iscoroutinefunction(benchmark):
+            anyio.run(benchmark)
         else:
-            act()
+            benchmark()
 
 
 if __name__ == "__main__":
--- a/benchmarks/_echo.py
+++ b/benchmarks/_echo.py
@@ -1,4 +1,4 @@
-"""Many cheap backend servers in one process, so that the entry is what is measured."""
+"""Many cheap backend servers in one process, so that a benchmark measures only the entry."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import asyncio
 import json
 
-HEADER = b"pumicespur-request-id: "
+REQUEST_ID_HEADER = b"pumicespur-request-id: "
 
 
 class Echo(asyncio.Protocol):
-    """Answers each request with its id, without parsing more than that."""
+    """Responds to each request with its id and parses nothing else."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -18,20 +18,20 @@
         self.content = b""
 
     def data_received(self, data: bytes) -> None:
-        """Answer a whole request; requests without bodies only."""
+        """Respond to a complete request; requests must not have a body."""
         self.content += data
         if not self.content.endswith(b"\r\n\r\n"):
             return
-        start = self.content.lower().find(HEADER)
-        echo = b""
+        start = self.content.lower().find(REQUEST_ID_HEADER)
+        request_id = b""
         if start >= 0:
             end = self.content.index(b"\r\n", start)
-            echo = self.content[start + len(HEADER) : end]
+            request_id = self.content[start + len(REQUEST_ID_HEADER) : end]
         self.content = b""
         self.transport.write(  # type: ignore[attr-defined]
             b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\npumicespur-load: 1/8\r\n"
-            + HEADER
-            + echo
+            + REQUEST_ID_HEADER
+            + request_id
             + b"\r\n\r\nok"
         )
 
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -1,4 +1,4 @@
-"""Send bounded load over loopback from a process of its own and print latencies as JSON."""
+"""Load generator: send requests over a few connections and print rate and latencies as JSON."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from benchmarks._report import percentile
 
 
-async def call(
+async def send_requests(
     host: str, port: int, request: bytes, end: float, latencies: list[float], failed: list[int]
 ) -> None:
-    """Send one request after the other on one connection until the end."""
+    """Send requests one after the other on one connection until `end`, a `perf_counter` time."""
     reader, writer = await asyncio.open_connection(host, port)
     while time.perf_counter() < end:
         started = time.perf_counter()
@@ -29,7 +29,7 @@
 
 
 async def main() -> None:
-    """Send load for some seconds."""
+    """Send load for `--seconds` and print the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--address", required=True)
     parser.add_argument("--path", default="/pool/x")
@@ -43,7 +43,7 @@
     end = time.perf_counter() + arguments.seconds
     await asyncio.gather(
         *(
-            call(host, int(port), request, end, latencies, failed)
+            send_requests(host, int(port), request, end, latencies, failed)
             for _ in range(arguments.connections)
         )
     )
--- a/benchmarks/_naive_entry.py
+++ b/benchmarks/_naive_entry.py
@@ -1,4 +1,4 @@
-"""The naive entry: the same libraries, a random backend server, and no promises."""
+"""The naive entry, for comparison: same libraries, random backend servers, no guarantees."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def main() -> None:
-    """Forward every request to any backend server."""
+    """Forward every request to a random backend server."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--addresses", required=True)
     addresses = parser.parse_args().addresses.split(",")
@@ -31,11 +31,11 @@
         if scope["type"] != "http":
             return
         await receive()
-        answer = await client.get(f"http://{random.choice(addresses)}{scope['path']}")
-        headers = [(b"content-length", str(len(answer.content)).encode())]
-        status = answer.status_code
+        response = await client.get(f"http://{random.choice(addresses)}{scope['path']}")
+        headers = [(b"content-length", str(len(response.content)).encode())]
+        status = response.status_code
         await send({"type": "http.response.start", "status": status, "headers": headers})
-        await send({"type": "http.response.body", "body": answer.content})
+        await send({"type": "http.response.body", "body": response.content})
 
     bound = listen("127.0.0.1:0")
     print(json.dumps({"process": "naive", "listen": bound_address(bound)}), flush=True)
--- a/benchmarks/_report.py
+++ b/benchmarks/_report.py
@@ -1,4 +1,4 @@
-"""Print figures as tables, and repeat measurements for their spread."""
+"""Helpers of the benchmarks: tables, repeated timing, and a process's processor time and memory."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     "timed",
 ]
 
-CLOCK_TICKS = 100
+CLOCK_TICKS_PER_S = 100
 
 
 def print_section(title: str) -> None:
@@ -28,27 +28,27 @@
     print(f"\n## {title}\n", flush=True)
 
 
-def timed(act: Callable[[], object], repeats: int = 5) -> tuple[float, float, float]:
-    """Return the median, lowest and highest seconds of some runs."""
+def timed(operation: Callable[[], object], repeats: int = 5) -> tuple[float, float, float]:
+    """Return the median, minimum and maximum duration of several runs, in seconds."""
     seconds: list[float] = []
     for _ in range(repeats):
         started = time.perf_counter()
-        act()
+        operation()
         seconds.append(time.perf_counter() - started)
     return statistics.median(seconds), min(seconds), max(seconds)
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value that a share of all values does not exceed."""
+    """Return the value that the given share of all values does not exceed."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
 def process_cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process has used so far."""
+    """Return the processor time that a process has used so far, in seconds."""
     with open(f"/proc/{pid}/stat") as stat:
         fields = stat.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def process_memory_mb(pid: int) -> float:
--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -1,4 +1,4 @@
-"""Measure what client accounts cost: the key of a call, a round with limits, many keys."""
+"""Measure the cost of client accounts: key checks, rounds with limits, decoding many keys."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from pumicespur.jobs._pool import PoolState
 
 ACCOUNTS = 10_000
-KEYS_EACH = 10
+KEYS_PER_ACCOUNT = 10
 ROUND_ACCOUNTS = 1_000
 ROUND_WORKERS = 200
 ROUND_JOBS = 1_000
@@ -29,11 +29,11 @@
 
 
 def make_content() -> bytes:
-    """Write a configuration with 100,000 keys."""
+    """Return a configuration with 100,000 keys."""
     accounts = [
         {
             "name": f"account-{number:05}",
-            "apiKeys": [f"key-{number:05}-{key:02}-abcdefgh" for key in range(KEYS_EACH)],
+            "apiKeys": [f"key-{number:05}-{key:02}-abcdefgh" for key in range(KEYS_PER_ACCOUNT)],
             "weight": 4,
             "upperLimit": {"cpu": 100_000, "memMb": 200_000, "gpu": 0},
         }
@@ -43,27 +43,27 @@
     return json.dumps({"version": 1, "routes": [route], "tenants": accounts}).encode()
 
 
-def best_s(act: Callable[[], object]) -> float:
-    """Return the shortest of several runs, in seconds."""
-    took = []
+def min_duration_s(operation: Callable[[], object]) -> float:
+    """Return the shortest duration of several runs, in seconds."""
+    durations = []
     for _ in range(REPEATS):
         started = time.perf_counter()
-        act()
-        took.append(time.perf_counter() - started)
-    return min(took)
+        operation()
+        durations.append(time.perf_counter() - started)
+    return min(durations)
 
 
-def round_s(accounts: int, *, several_pools: bool) -> float:
-    """Return the processor time of a placement round over jobs of some accounts, in seconds."""
+def round_cpu_s(accounts: int, *, several_pools: bool) -> float:
+    """Return the processor seconds of a placement round over jobs of `accounts` accounts."""
     pool = make_pool(ROUND_WORKERS)
-    prepare(pool, accounts, several_pools=several_pools)
+    add_waiting_jobs(pool, accounts, several_pools=several_pools)
     started = time.process_time()
     pool.place(0.0, 0.0)
     return time.process_time() - started
 
 
-def prepare(pool: PoolState, accounts: int, *, several_pools: bool) -> None:
-    """Submit jobs that wait, spread over some accounts."""
+def add_waiting_jobs(pool: PoolState, accounts: int, *, several_pools: bool) -> None:
+    """Submit jobs that wait, spread over `accounts` accounts."""
     limit = Capacity(1_000_000, 2_000_000)
     names = [AccountId(f"account-{number}") for number in range(accounts)]
     pool.limits.set_accounts({name: ClientAccount(name, 100.0, limit) for name in names})
@@ -79,30 +79,30 @@
 
 
 def main() -> None:
-    """Print the three costs."""
+    """Print the costs beside their targets."""
     content = make_content()
-    read_s = best_s(lambda: decode_configuration(content))
+    decode_s = min_duration_s(lambda: decode_configuration(content))
     keys = decode_configuration(content).ok.keys
     header = "Bearer key-07777-03-abcdefgh"
 
-    def check() -> None:
+    def check_keys() -> None:
         for _ in range(CALLS):
             key = bearer_key(header)
             assert key is not None and key_digest(key) in keys
 
-    # By turns, so that what else the machine does strikes both alike.
+    # Alternating, so that other load on the machine affects both alike.
     rounds = [
-        (round_s(0, several_pools=False), round_s(ROUND_ACCOUNTS, several_pools=True))
+        (round_cpu_s(0, several_pools=False), round_cpu_s(ROUND_ACCOUNTS, several_pools=True))
         for _ in range(ROUNDS)
     ]
     plain_s = min(plain for plain, _ in rounds)
     limited_s = min(limited for _, limited in rounds)
     rows = [
-        ("key of a call, us", f"{best_s(check) / CALLS * 1e6:.2f}", "20"),
-        ("configuration with 100,000 keys, s", f"{read_s:.3f}", ""),
+        ("key check of a call, us", f"{min_duration_s(check_keys) / CALLS * 1e6:.2f}", "20"),
+        ("configuration with 100,000 keys, s", f"{decode_s:.3f}", ""),
         ("round without accounts, ms", f"{plain_s * 1e3:.1f}", ""),
         ("round with 1,000 accounts, ms", f"{limited_s * 1e3:.1f}", ""),
-        ("times a round without", f"{limited_s / plain_s:.2f}", "1.2"),
+        ("ratio of the two rounds", f"{limited_s / plain_s:.2f}", "1.2"),
     ]
     print_section("Client accounts")
-    print_table(("what", "measured", "aim"), rows)
+    print_table(("what", "measured", "target"), rows)
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,4 +1,4 @@
-"""Measure claims: keys a second, writes a key and latency, by load and store delay."""
+"""Measure claims: keys per second, writes per key and latency, by load and store delay."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def measure(delay_ms: int, rate: float) -> tuple[object, ...]:
-    """Claim keys at a rate through eight entries' claim writers."""
+    """Claim keys at `rate` per second through the claim writers of `ENTRIES` entries."""
     launcher = Launcher()
     try:
         platform = launcher.start_platform()
@@ -63,7 +63,7 @@
 
 
 async def main() -> None:
-    """Print claims by load and by the store's delay."""
+    """Print the figures for each store delay and load."""
     print_section(f"Claims through {ENTRIES} entries, {WRITES_PER_S} writes/s each at most")
     rows = [await measure(delay, rate) for delay in DELAYS_MS for rate in LOADS]
     header = ("STORE MS", "ASKED/S", "KEYS/S", "WRITES/S", "WRITES/KEY", "P50 MS", "P99 MS")
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""Measure control on real processes: rest, propagation, urgent starts, by number of peers."""
+"""Measure idle cost, propagation and urgent starts on several numbers of real processes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from pumicespur.utils import monotonic
 from standins.launcher import Child, Launcher, PlatformOrders, wait_until
 
-REST_S = 8.0
+IDLE_S = 8.0
 APPLIES = 20
 INSTANCES = 200
 PAIRS = (2, 4, 8)
@@ -30,12 +30,12 @@
     "platform": {"timeout_s": "2", "writes_per_s": "6"},
     "manager": {"lease_s": "6", "tick_s": "0.5"},
 }
-"""The program's own defaults, in place of the launcher's quick ones."""
+"""The program's own defaults, in place of the launcher's `FAST_SETTINGS`."""
 
 
 @dataclass
 class Cluster:
-    """Entries and managers in pairs, and one entry that is cut off from the store."""
+    """Pairs of an entry and a manager, and one entry that can't reach the store."""
 
     launcher: Launcher
     platform: Child
@@ -46,12 +46,12 @@
 
     @property
     def roles(self) -> list[Child]:
-        """All processes of the system."""
+        """All processes of the system under test."""
         return [*self.entries, *self.managers, self.cut_off]
 
 
 def start(pairs: int) -> Cluster:
-    """Start the processes with the program's defaults."""
+    """Start the processes with the program's default settings."""
     launcher = Launcher()
     platform = launcher.start_platform()
     entries = [launcher.start_role("entry", f"entry-{n}", platform, DEFAULTS) for n in range(pairs)]
@@ -60,10 +60,10 @@
     ]
     for child in [*entries, *managers]:
         child.wait_ready()
-    dead = {"url": "http://127.0.0.1:1"}
+    unreachable = {"url": "http://127.0.0.1:1"}
     peers = {"peers": f"{managers[0].ready['peer']}, {entries[0].ready['peer']}"}
     sections = DEFAULTS | {
-        "platform": DEFAULTS["platform"] | dead,
+        "platform": DEFAULTS["platform"] | unreachable,
         "process": DEFAULTS["process"] | peers,
     }
     cut_off = launcher.start_role("entry", "entry-cut-off", platform, sections)
@@ -72,22 +72,22 @@
 
 
 async def revisions(client: httpx.AsyncClient, children: list[Child]) -> list[int]:
-    """Ask processes for their revisions at the same time."""
+    """Fetch the revisions of several processes concurrently."""
     found: list[int] = [0] * len(children)
 
-    async def ask(number: int, child: Child) -> None:
+    async def fetch(number: int, child: Child) -> None:
         text = (await client.get(f"{child.admin_url}/metrics")).text
         line = next(x for x in text.splitlines() if x.startswith("pumicespur_revision{"))
         found[number] = int(float(line.split()[-1]))
 
     async with anyio.create_task_group() as tasks:
         for number, child in enumerate(children):
-            tasks.start_soon(ask, number, child)
+            tasks.start_soon(fetch, number, child)
     return found
 
 
 async def propagation(cluster: Cluster, operator: OperatorClient) -> list[float]:
-    """Apply changes; return the seconds until each was in force on every process."""
+    """Apply changes; return the time until each was in force on every process, in seconds."""
     seconds: list[float] = []
     async with httpx.AsyncClient(trust_env=False) as client:
         for number in range(APPLIES):
@@ -103,7 +103,7 @@
 
 
 async def urgent_starts(cluster: Cluster, operator: OperatorClient) -> list[float]:
-    """Declare urgent jobs; return the seconds until the platform started each."""
+    """Declare urgent jobs; return the time until the platform started each, in seconds."""
     seconds: list[float] = []
     for number in range(APPLIES):
         name = f"urgent-{number}"
@@ -129,25 +129,25 @@
     return seconds
 
 
-async def rest(cluster: Cluster) -> dict[str, tuple[float, float, float]]:
-    """Leave the system alone; return each role's core share, memory and peer bytes/s."""
+async def measure_idle(cluster: Cluster) -> dict[str, tuple[float, float, float]]:
+    """Leave the system idle; return each process's percent of a core, MB and peer bytes/s."""
     before = {child.name: process_cpu_s(child.process.pid) for child in cluster.roles}
     bytes_before = {child.name: peer_bytes(child) for child in cluster.roles}
     started = monotonic()
-    await anyio.sleep(REST_S)
-    wall = monotonic() - started
+    await anyio.sleep(IDLE_S)
+    elapsed_s = monotonic() - started
     return {
         child.name: (
-            (process_cpu_s(child.process.pid) - before[child.name]) / wall * 100,
+            (process_cpu_s(child.process.pid) - before[child.name]) / elapsed_s * 100,
             process_memory_mb(child.process.pid),
-            (peer_bytes(child) - bytes_before[child.name]) / wall,
+            (peer_bytes(child) - bytes_before[child.name]) / elapsed_s,
         )
         for child in cluster.roles
     }
 
 
-def print_rest(processes: int, role: str, used: list[tuple[float, float, float]]) -> None:
-    """Print a role's use at rest: the median, and the range of the processor time."""
+def print_idle(processes: int, role: str, used: list[tuple[float, float, float]]) -> None:
+    """Print a role's idle cost: the medians, and the range of the processor time."""
     cores, memory, messages = (sorted(column) for column in zip(*used, strict=True))
     middle = len(used) // 2
     print(
@@ -163,8 +163,8 @@
     return float(child.describe()["peer_bytes"])
 
 
-async def run(pairs: int) -> list[tuple[object, ...]]:
-    """Measure one cluster size."""
+async def measure(pairs: int) -> list[tuple[object, ...]]:
+    """Measure one cluster size; return its table row."""
     cluster = start(pairs)
     try:
         addresses = [f"127.0.0.1:{20000 + n}" for n in range(INSTANCES)]
@@ -179,7 +179,7 @@
         await wait_until(full, "the pool is full")
         await anyio.sleep(3)
         history = await cluster.orders.history()
-        used = await rest(cluster)
+        used = await measure_idle(cluster)
         after = await cluster.orders.history()
         spread = await propagation(cluster, operator)
         urgent = await urgent_starts(cluster, operator)
@@ -190,12 +190,12 @@
             "other managers": [m.name for m in cluster.managers if m.name != planner],
         }
         for role, names in groups.items():
-            print_rest(pairs * 2 + 1, role, [used[name] for name in names])
+            print_idle(pairs * 2 + 1, role, [used[name] for name in names])
         return [
             (
                 pairs * 2 + 1,
-                f"{(after.reads - history.reads) / REST_S:.1f}",
-                f"{(after.writes - history.writes) / REST_S:.1f}",
+                f"{(after.reads - history.reads) / IDLE_S:.1f}",
+                f"{(after.writes - history.writes) / IDLE_S:.1f}",
                 f"{percentile(spread, 0.5):.2f} / {max(spread):.2f}",
                 f"{percentile(urgent, 0.5):.2f} / {max(urgent):.2f}",
             )
@@ -209,7 +209,7 @@
     print_section(f"Control with default settings, {INSTANCES} instances")
     rows: list[tuple[object, ...]] = []
     for pairs in PAIRS:
-        rows += await run(pairs)
+        rows += await measure(pairs)
     header = ("PROCESSES", "READS/S", "WRITES/S", "IN FORCE P50/MAX S", "URGENT START P50/MAX S")
     print_table(header, rows)
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""Measure decisions: waves, moves and buffer against naive ones and bounds; time by size."""
+"""Measure planning: waves against a naive planner and a lower bound, and cost by fleet size."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 EXAMPLES = ("examples/coulee.ini", "examples/sofia.ini")
 ROUNDS = 20_000
 ONE_INSTANCE_ROUNDS = 4
-"""Rounds from a drain's decision to the instance's return in the model, at best."""
+"""Fewest rounds in the model from the decision to drain an instance to its return."""
 
 SIZES = (200, 2_000, 20_000)
 POOLS = 27
-RACK = 4
+INSTANCES_PER_RACK = 4
 
 
-def example(path: str) -> tuple[list[Pool], Wave]:
-    """Load one of the first users' declarations."""
+def load_example(path: str) -> tuple[list[Pool], Wave]:
+    """Load the pools and the wave of an example, without the wave's time window."""
     declaration, _ = load_declaration([Path(path)])
     wave = declaration.waves[0]
     wave.window_start_minute = wave.window_end_minute = 0
@@ -33,68 +33,73 @@
 
 
 def wave_rounds(pools: list[Pool], wave: Wave, naive: bool) -> tuple[int, int]:
-    """Run a wave; return its rounds and the log records that it took."""
-    chosen = naive_decide if naive else decide
-    model = build([(pool, pool.size) for pool in pools], racks=8, halls=4, decide=chosen)
+    """Run a wave; return its number of rounds and of log records."""
+    planner = naive_decide if naive else decide
+    model = build([(pool, pool.size) for pool in pools], racks=8, halls=4, decide=planner)
     model.fleet.waves[WaveId(wave.id)] = wave
     model.start_wave(wave.id)
     rounds = sum(1 for _ in model.run(ROUNDS))
     return rounds, model.records
 
 
-def bound(pools: list[Pool], wave: Wave) -> int:
-    """Return the fewest rounds in which any planner could keep every budget.
+def min_rounds(pools: list[Pool], wave: Wave) -> int:
+    """Return a lower bound of the rounds of any planner that keeps every budget.
 
-    Each pool can have at most size - budget instances down, one less when the headroom
-    keeps room for the loss of one, and the wave at most its limit.
+    At most size - budget instances of a pool can be down at once, one less if headroom keeps free
+    capacity for the loss of one, and at most `max_parallel` instances of the wave.
     """
-    per_pool = [math.ceil(pool.size / max(1, pool.size - kept(pool))) for pool in pools]
+    per_pool = [math.ceil(pool.size / max(1, pool.size - min_up(pool))) for pool in pools]
     overall = math.ceil(sum(pool.size for pool in pools) / wave.max_parallel)
     return max(*per_pool, overall) * ONE_INSTANCE_ROUNDS
 
 
-def kept(pool: Pool) -> int:
-    """Return the instances that must stay up whatever the planner does."""
+def min_up(pool: Pool) -> int:
+    """Return the number of a pool's instances that must stay up at any time."""
     return minimum_available(pool) + (pool.headroom is not FailureDomain.UNSPECIFIED)
 
 
 def print_waves() -> None:
-    """Print roll-out, buffer and store use of both clusters' waves."""
+    """Print the rounds, buffer and log records of both examples' waves."""
     print_section("Waves of the two first users (rounds of the model)")
     rows = []
     for path in EXAMPLES:
-        pools, wave = example(path)
-        ours, records = wave_rounds(pools, wave, naive=False)
+        pools, wave = load_example(path)
+        rounds, records = wave_rounds(pools, wave, naive=False)
         naive, naive_records = wave_rounds(pools, wave, naive=True)
         buffer = sum(pool.size - minimum_available(pool) for pool in pools)
         size = sum(pool.size for pool in pools)
         rows.append(
-            (wave.id, size, buffer, ours, naive, bound(pools, wave), records, naive_records)
+            (wave.id, size, buffer, rounds, naive, min_rounds(pools, wave), records, naive_records)
         )
     header = ("WAVE", "INSTANCES", "BUFFER", "ROUNDS", "NAIVE", "BOUND", "RECORDS", "NAIVE REC")
     print_table(header, rows)
 
 
 def print_headroom() -> None:
-    """Print what headroom costs: the rounds of one wave by what may be lost."""
+    """Print the rounds of one wave by the failure domain that headroom covers."""
     print_section("What headroom costs (24 instances, budget 16, 8 racks, 4 data halls)")
     rows = []
     for domain in FailureDomain:
         pool = Pool(id="p", size=24, min_available=16, headroom=domain)
         wave = Wave(id="w", pools=["p"], max_parallel=24, halt_share=1, attempts=1)
         rounds, records = wave_rounds([pool], wave, naive=False)
-        rows.append((domain.name.lower(), rounds, bound([pool], wave), records))
+        rows.append((domain.name.lower(), rounds, min_rounds([pool], wave), records))
     print_table(("HEADROOM", "ROUNDS", "BOUND", "RECORDS"), rows)
 
 
 def large_model(size: int) -> ModelPlatform:
-    """Build a fleet of 27 pools with budgets and rack headroom."""
-    each = size // POOLS
+    """Build a fleet of `POOLS` pools with budgets and rack headroom."""
+    pool_size = size // POOLS
     pools = [
-        Pool(id=f"p{n}", size=each, min_available=each * 3 // 4, headroom=FailureDomain.RACK)
+        Pool(
+            id=f"p{n}",
+            size=pool_size,
+            min_available=pool_size * 3 // 4,
+            headroom=FailureDomain.RACK,
+        )
         for n in range(POOLS)
     ]
-    racks = max(1, size // RACK)
+    racks = max(1, size // INSTANCES_PER_RACK)
     model = build([(pool, pool.size) for pool in pools], racks=racks, halls=11)
     wave = Wave(id="w", pools=list(model.fleet.pools), max_parallel=100, halt_share=1, attempts=1)
     model.fleet.waves[WaveId("w")] = wave
@@ -102,7 +107,7 @@
 
 
 def print_sizes() -> None:
-    """Print a round's time and the state's size by fleet size."""
+    """Print a planning round's duration and the state's size by fleet size."""
     print_section("One planning round and the state, by size (27 pools)")
     rows = []
     for size in SIZES:
@@ -133,9 +138,9 @@
     print_table(header, rows)
 
 
-def print_fold() -> None:
-    """Print the time to fold one record and its size."""
-    print_section("Folding records")
+def print_apply() -> None:
+    """Print the time to apply one record to the state, by fleet size."""
+    print_section("Applying records")
     rows = []
     for size in SIZES:
         model = large_model(size)
@@ -143,12 +148,12 @@
         pool = fleet.pools[PoolId("p0")]
         change = Record(put=Declaration(pools=[pool]))
 
-        def fold(fleet: Fleet = fleet, change: Record = change) -> None:
+        def apply(fleet: Fleet = fleet, change: Record = change) -> None:
             for _ in range(100):
                 change.revision = fleet.revision + 1
                 fleet.apply(change)
 
-        median, low, high = timed(fold)
+        median, low, high = timed(apply)
         rows.append((size, f"{median * 10:.3f} ({low * 10:.3f}-{high * 10:.3f})"))
     print_table(("WORKERS", "MS PER CONFIGURATION RECORD"), rows)
 
@@ -159,11 +164,11 @@
 
 
 def main() -> None:
-    """Print all figures of decisions."""
+    """Print all figures."""
     print_waves()
     print_headroom()
     print_sizes()
-    print_fold()
+    print_apply()
 
 
 if __name__ == "__main__":
--- a/benchmarks/entry.py
+++ b/benchmarks/entry.py
@@ -1,4 +1,4 @@
-"""Measure one entry on real processes: rate, added latency, processor time, memory."""
+"""Measure one entry on real processes: rate, latency, processor time and memory."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 SECONDS = 3.0
 REPEATS = 3
 IDLE_CONNECTIONS = 500
-LIMITS = {"entry": {"entries": "1", "max_connections": "5000"}}
+ENTRY_SETTINGS = {"entry": {"entries": "1", "max_connections": "5000"}}
 
 
 async def add_endpoints(orders: PlatformOrders, addresses: list[str]) -> None:
-    """List echo endpoints as instances; they take no orders."""
+    """List endpoints as instances that accept no orders."""
     request = AddInstancesRequest()
     for number, address in enumerate(addresses):
         request.instances.append(
@@ -44,10 +44,10 @@
 
 
 async def start(launcher: Launcher, endpoints: int) -> tuple[Child, Child, list[str]]:
-    """Start an entry over some endpoints; return it, a naive entry and the addresses."""
+    """Start an entry and a naive one over echo endpoints; return both and the addresses."""
     platform = launcher.start_platform()
     echo = launcher.start("echo", "benchmarks._echo", "--ports", str(endpoints))
-    entry = launcher.start_role("entry", "entry-0", platform, LIMITS)
+    entry = launcher.start_role("entry", "entry-0", platform, ENTRY_SETTINGS)
     manager = launcher.start_role("manager", "manager-0", platform)
     for child in (echo, entry, manager):
         child.wait_ready()
@@ -84,17 +84,17 @@
 def measure(
     launcher: Launcher, child: Child | None, address: str, connections: int
 ) -> dict[str, float]:
-    """Run load and add the processor time per request."""
+    """Run load; return its figures and the processor time per request of `child`."""
     before = process_cpu_s(child.process.pid) if child else 0.0
     result = run_load(launcher, address, connections)
-    used = process_cpu_s(child.process.pid) - before if child else 0.0
-    done = result["rate"] * SECONDS + result["failed"]
-    result["cpu_ms"] = used * 1000 / max(1, done)
+    cpu_s = process_cpu_s(child.process.pid) - before if child else 0.0
+    requests = result["rate"] * SECONDS + result["failed"]
+    result["cpu_ms"] = cpu_s * 1000 / max(1, requests)
     return result
 
 
 def memory_per_connection_kb(entry: Child) -> float:
-    """Return an entry's memory for one idle caller connection, in KB."""
+    """Return an entry's memory per idle caller connection, in KB."""
     host, _, port = entry.ready["listen"].rpartition(":")
     before = process_memory_mb(entry.process.pid)
     sockets = [socket.create_connection((host, int(port))) for _ in range(IDLE_CONNECTIONS)]
@@ -106,7 +106,7 @@
 
 
 async def compare(endpoints: int) -> list[tuple[object, ...]]:
-    """Measure the entry, the naive entry and no entry in turn, several times."""
+    """Measure the entry, the naive entry and a direct connection in turn, `REPEATS` times."""
     launcher = Launcher()
     try:
         entry, naive, addresses = await start(launcher, endpoints)
@@ -150,12 +150,12 @@
 
 
 def median(results: list[dict[str, float]], key: str) -> float:
-    """Return the median of a figure over the repeats."""
+    """Return the median of a figure over all repeats."""
     return statistics.median(result[key] for result in results)
 
 
 def spread(results: list[dict[str, float]], key: str) -> str:
-    """Return the lowest and highest of a figure over the repeats."""
+    """Return the minimum and maximum of a figure over all repeats."""
     values = [result[key] for result in results]
     return f"{min(values):.0f}-{max(values):.0f}"
 
--- a/benchmarks/jobs.py
+++ b/benchmarks/jobs.py
@@ -1,4 +1,4 @@
-"""Measure one round of a pool's owner at growing sizes, beside a naive first fit."""
+"""Measure one placement round of a pool's owner by pool size, beside a naive first fit."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 SIZES = (8, 40, 200, 741, 2000)
 """Workers of a pool; 741 is the mean of 20,000 workers in 27 pools."""
 
-JOBS_A_WORKER = 0.5
-"""Open jobs for each worker: about the users' peak of today."""
+JOBS_PER_WORKER = 0.5
+"""Open jobs per worker: about the users' present peak."""
 
 REPEATS = 20
 
 
 def make_pool(workers: int) -> PoolState:
-    """Make a pool with open jobs whose tasks are placed."""
+    """Make a pool with open jobs whose tasks are placed already."""
     pool = PoolState(POOL)
     for number in range(workers):
         worker = Worker(
@@ -50,7 +50,7 @@
             InstanceId(f"m-{number}"),
         )
         pool.add_worker(worker).reachable = True
-    for number in range(int(workers * JOBS_A_WORKER)):
+    for number in range(int(workers * JOBS_PER_WORKER)):
         add_job(pool, number)
     pool.place(0.0, 0.0)
     pool.fresh.clear()
@@ -59,7 +59,7 @@
 
 
 def add_job(pool: PoolState, number: int) -> None:
-    """Submit a job like the users' shortest kind."""
+    """Submit a job like the users' shortest ones."""
     step = StepRecord(count=6, cpu_millis=880, memory_mb=1300, estimated_ms=1000)
     pool.add_job(
         JobRecord(id=f"{number:016x}", route=ROUTE.name, steps=[step]), CONFIGURATION, None
@@ -67,7 +67,7 @@
 
 
 def place_naively(pool: PoolState) -> int:
-    """Place waiting tasks on the first worker with room, over all jobs and workers."""
+    """Count the waiting tasks that fit on some worker, tried in order; nothing is placed."""
     placed = 0
     for group in order_groups(pool.jobs.values(), 0.0):
         for _ in group.waiting():
@@ -79,7 +79,7 @@
 
 
 def measure(workers: int) -> list[str]:
-    """Return one row: the time of a round with one new job, in milliseconds."""
+    """Return a table row: the median duration of a round with one new job, in milliseconds."""
     pool = make_pool(workers)
     rounds: list[float] = []
     naive: list[float] = []
@@ -103,7 +103,7 @@
 
 
 def main() -> None:
-    """Print the table of all sizes."""
+    """Print the table for all sizes."""
     print_table(["workers", "open jobs", "round ms", "naive ms"], [measure(size) for size in SIZES])
 
 
--- a/benchmarks/reports.py
+++ b/benchmarks/reports.py
@@ -1,4 +1,4 @@
-"""Measure what 20,000 workers' reports cost in bytes and time, whole, summed and as changes."""
+"""Measure instance lists of up to 20,000: whole, summed or as changes; and the routing table."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 SIZES = (200, 2_000, 20_000)
 POOLS = 27
 HALLS = 11
-RACK = 4
-CHANGES_A_DAY = 310 + 2 * 7_800 + 4 * 20_000 // 49
-"""Failures; replacements (one goes, one comes); a wave's steps (letter 1)."""
+INSTANCES_PER_RACK = 4
+CHANGES_PER_DAY = 310 + 2 * 7_800 + 4 * 20_000 // 49
+"""Failures; replacements (one leaves, one joins); a wave's steps. From the users' first letter."""
 
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 BOOT = "0123456789abcdef0123456789abcdef"
 
 
 def make_list(size: int) -> ListInstancesResponse:
-    """Make the platform's list of so many instances."""
+    """Make the platform's list of `size` instances."""
     return ListInstancesResponse(
         instances=[
             ListedInstance(
                 id=f"instance-{number}",
                 region=f"region-{number % HALLS % 3}",
                 data_hall=f"hall-{number % HALLS}",
-                rack=f"rack-{number // RACK}",
+                rack=f"rack-{number // INSTANCES_PER_RACK}",
                 address="10.0.0.1:8080",
                 resources=Resources(millicores=16000, memory_mb=32768),
                 liveness=Liveness.LIVE,
@@ -55,12 +55,12 @@
 
 
 def sum_bytes(counts: Counter[Hashable]) -> int:
-    """Return the bytes of one count for each group, as a varint after a short name."""
+    """Return the bytes of one count per group, each a varint after the group's name."""
     return sum(len(str(group)) + 3 for group in counts)
 
 
 def print_reports() -> None:
-    """Print the list's cost and what sums and changes would cost instead."""
+    """Print the cost of the whole list, and of sums or changes in its place."""
     print_section("The instance list: bytes and time, against sums and changes")
     rows = []
     for size in SIZES:
@@ -72,7 +72,7 @@
         by_hall = Counter((n % POOLS, i.data_hall) for n, i in enumerate(whole.instances))
         by_rack = Counter((n % POOLS, i.rack) for n, i in enumerate(whole.instances))
         change = len(whole.instances[-1].to_binary()) + 2
-        per_second = CHANGES_A_DAY * size / 20_000 / SECONDS_A_DAY * change
+        per_second = CHANGES_PER_DAY * size / 20_000 / SECONDS_PER_DAY * change
         rows.append(
             (
                 size,
@@ -126,7 +126,7 @@
 
 
 def main() -> None:
-    """Print all figures of reports."""
+    """Print all figures."""
     print_reports()
     print_table_cost()
 
--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Show the whole path at work: `make demo`."""
+"""A demo of the whole system; run it with `make demo`."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,9 +1,9 @@
-"""The whole path at work, with one entry instance lost half way.
+"""Run the whole system through a maintenance wave that loses an entry and the planner half way.
 
-Starts the platform stand-in, backend servers for both clusters' shapes scaled down, and
-three entry instances (an entry and a manager process each); applies declarations; sends
-live lookups, batch work and not-repeatable requests throughout; runs one maintenance
-wave; kills one entry and the planning manager half way. Exits with 1 if a promise broke.
+Starts the platform stand-in, backend servers (both clusters scaled down) and three pairs of an
+entry and a manager process; applies declarations; sends live lookups, batch work and at-most-once
+requests throughout; runs one maintenance wave; kills one entry and the planning manager half way.
+Exits with 1 if a guarantee was broken.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 SPARES = 2
 ENTRIES = 3
 CALLERS_PER_KIND = 4
-WAVE_LIMIT_S = 60.0
-PAUSE_S = 0.01
+WAVE_TIMEOUT_S = 60.0
+REQUEST_PAUSE_S = 0.01
 
 
 @dataclass
 class Tally:
-    """What callers were told."""
+    """The responses that callers got, by kind of request and outcome."""
 
     outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)
     keys_not_run: set[str] = field(default_factory=set)
@@ -69,44 +69,44 @@
 
 
 async def send_requests(cluster: Cluster, kind: str, tally: Tally, stop: anyio.Event) -> None:
-    """Send one kind of request after the other until told to stop."""
+    """Send requests of one kind, one after the other, until `stop` is set."""
     async with httpx.AsyncClient(trust_env=False, timeout=10) as client:
         while not stop.is_set():
             await send_one(client, cluster, kind, tally)
-            await anyio.sleep(PAUSE_S)
+            await anyio.sleep(REQUEST_PAUSE_S)
 
 
 async def send_one(client: httpx.AsyncClient, cluster: Cluster, kind: str, tally: Tally) -> None:
-    """Send a request through a living entry, as the balancer would, and note the outcome."""
+    """Send a request through a running entry, as the balancer would, and count the outcome."""
     entry = random.choice([e for e in cluster.entries if e.process.poll() is None])
     key = uuid.uuid4().hex
     try:
         match kind:
             case "live":
-                answer = await client.get(f"{entry.url}/{random.choice(POOLS[1:3])}/lookup")
+                response = await client.get(f"{entry.url}/{random.choice(POOLS[1:3])}/lookup")
             case "batch":
                 headers = {"pumicespur-urgency": "batch"}
-                answer = await client.get(f"{entry.url}/pricing/tariffs", headers=headers)
+                response = await client.get(f"{entry.url}/pricing/tariffs", headers=headers)
             case _:
                 headers = {"idempotency-key": key}
                 url = f"{entry.url}/issuance/licences"
-                answer = await client.post(url, headers=headers, content=key)
+                response = await client.post(url, headers=headers, content=key)
     except httpx.HTTPError:
         tally.outcomes[kind, "connection lost"] += 1
         return
-    outcome = answer.headers.get("pumicespur-outcome", "none")
+    outcome = response.headers.get("pumicespur-outcome", "none")
     tally.outcomes[kind, outcome] += 1
     if kind == "once":
-        note_once(tally, key, outcome, answer)
+        note_at_most_once(tally, key, outcome, response)
 
 
-def note_once(tally: Tally, key: str, outcome: str, answer: httpx.Response) -> None:
-    """Remember what was said of a not-repeatable request."""
+def note_at_most_once(tally: Tally, key: str, outcome: str, response: httpx.Response) -> None:
+    """Note the outcome that an at-most-once request was given."""
     if outcome == "not-run":
         tally.keys_not_run.add(key)
     elif outcome == "answered":
         tally.keys_answered.add(key)
-        if answer.json()["key"] != key:
+        if response.json()["key"] != key:
             tally.wrong_answers += 1
 
 
@@ -122,34 +122,34 @@
     await wait_until(all_full, "pools are full")
 
 
-async def run_wave(cluster: Cluster, operator: OperatorClient, others: OperatorClient) -> float:
-    """Run the wave; kill an entry and the planner half way; return the roll-out time."""
+async def run_wave(cluster: Cluster, operator: OperatorClient, watcher: OperatorClient) -> float:
+    """Run the wave, kill an entry and the planner half way; return the roll-out time in seconds."""
     started = monotonic()
     await operator.control_wave(WaveRequest(wave="kernel", action=WaveAction.START))
 
     async def half_done() -> bool:
-        status = await others.status()
+        status = await watcher.status()
         return any(progress.done >= len(POOLS) * 2 for progress in status.waves)
 
     async def done() -> bool:
-        status = await others.status()
+        status = await watcher.status()
         return any(progress.phase is WavePhase.DONE for progress in status.waves)
 
-    await wait_until(half_done, "half of the wave", WAVE_LIMIT_S)
+    await wait_until(half_done, "half of the wave", WAVE_TIMEOUT_S)
     cluster.entries[0].kill()
-    planner = (await others.status()).planner
+    planner = (await watcher.status()).planner
     next(child for child in cluster.managers if child.name == planner).kill()
-    await wait_until(done, "the wave's end", WAVE_LIMIT_S)
+    await wait_until(done, "the wave's end", WAVE_TIMEOUT_S)
     return monotonic() - started
 
 
-async def judge(cluster: Cluster, tally: Tally, rollout_s: float) -> bool:
-    """Print the summary from the stand-ins' histories; return whether all promises held."""
+async def check_guarantees(cluster: Cluster, tally: Tally, rollout_s: float) -> bool:
+    """Print the summary from the stand-ins' histories; return whether all guarantees held."""
     history = await PlatformOrders(cluster.platform).history()
     runs: Counter[str] = Counter()
     for backend in cluster.backends:
         runs += count_runs(await BackendOrders(backend).inspect())
-    doubled = [key for key, count in runs.items() if count > 1]
+    ran_twice = [key for key, count in runs.items() if count > 1]
     false_not_run = [key for key in tally.keys_not_run if runs[key]]
     lost = [key for key in tally.keys_answered if not runs[key]]
     budgets = lowest_availability(history)
@@ -163,22 +163,22 @@
         [(pool, low.lowest, low.minimum) for pool, low in budgets.items()],
     )
     print()
-    clashes = undrained_moves(history)
+    undrained = undrained_moves(history)
     moves = count_moves(history)
     rows = [
-        ("not-repeatable requests doubled", len(doubled)),
-        ('ran although told "not run"', len(false_not_run)),
+        ("at-most-once requests run twice", len(ran_twice)),
+        ('run although reported "not run"', len(false_not_run)),
         ("answered although never run", len(lost)),
-        ("answers to another request", tally.wrong_answers),
-        ("instances in two pools", len(clashes)),
+        ("responses to another request", tally.wrong_answers),
+        ("instances moved without a drain", len(undrained)),
         ("moves of instances / tasks", f"{moves.instances} / {moves.tasks}"),
         ("roll-out time, s", round(rollout_s, 1)),
         ("store writes / reads", f"{history.writes} / {history.reads}"),
     ]
     print_table(("MEASURE", "VALUE"), rows)
-    broken = [doubled, false_not_run, lost, clashes, tally.wrong_answers]
-    low = [pool for pool, seen in budgets.items() if seen.lowest < seen.minimum]
-    return not any(broken) and not low
+    broken = [ran_twice, false_not_run, lost, undrained, tally.wrong_answers]
+    over_budget = [pool for pool, seen in budgets.items() if seen.lowest < seen.minimum]
+    return not any(broken) and not over_budget
 
 
 async def main() -> int:
@@ -196,12 +196,12 @@
             for kind in ("live", "batch", "once") * CALLERS_PER_KIND:
                 callers.start_soon(send_requests, cluster, kind, tally, stop)
             planner = (await operator.status()).planner
-            others = next(m for m in cluster.managers if m.name != planner)
-            watcher = OperatorClient(others.url, "demo")
+            other = next(m for m in cluster.managers if m.name != planner)
+            watcher = OperatorClient(other.url, "demo")
             rollout_s = await run_wave(cluster, operator, watcher)
             stop.set()
-        held = await judge(cluster, tally, rollout_s)
-        print("\nall promises held" if held else "\na promise BROKE")
+        held = await check_guarantees(cluster, tally, rollout_s)
+        print("\nall guarantees held" if held else "\na guarantee was BROKEN")
         return 0 if held else 1
     finally:
         launcher.close()
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -29,6 +29,7 @@
         self.down: set[str] = set()
         self.lowest: dict[str, LowestAvailability] = {}
         self.full: set[str] = set()
+        """Pools that have been full at least once."""
         changes: list[tuple[int, int, Record | HistoryEvent]] = [
             (record.at_ms, 0, record) for record in history.records
         ]
--- a/standins/hosted/_world.py
+++ b/standins/hosted/_world.py
@@ -282,7 +282,9 @@
             if job_state == wanted:
                 return
             await asyncio.sleep(CHECK_INTERVAL_S)
-        raise AssertionError(f"job {job} is {job_state}, not {wanted}\n{self._failure_report()}")
+        raise AssertionError(
+            f"job {job} is shown as {job_state}, not {wanted}\n{self._failure_report()}"
+        )
 
     async def wait_ready(self, node: Node) -> None:
         """Wait until a node reports that it is ready."""
--- a/standins/model.py
+++ b/standins/model.py
@@ -51,8 +51,11 @@
     round: int = 0
     records: int = 0
     carried_out: set[str] = field(default_factory=set)
+    """Tokens of the orders that were carried out."""
     missing: dict[str, int] = field(default_factory=dict)
+    """Assigned instances that are not listed, with the round since which they are not."""
     never_back: set[str] = field(default_factory=set)
+    """Instances that a reboot loses for good."""
     usage: UsageTracker = field(default_factory=UsageTracker)
     last: Decision = field(default_factory=Decision)
 
--- a/tests/base.py
+++ b/tests/base.py
@@ -1,4 +1,4 @@
-"""Helpers that the tests share."""
+"""Shared helpers of the tests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def make_pool(name: str, size: int, minimum: int, headroom: FailureDomain | None = None) -> Pool:
-    """Make a pool with a budget."""
+    """Make a pool with an availability budget of `minimum` instances."""
     return Pool(
         id=name,
         size=size,
@@ -41,7 +41,7 @@
 
 
 def make_wave(*pools: str, parallel: int = 100, halt_share: float = 0.3) -> Wave:
-    """Make a wave over pools, without a window."""
+    """Make a maintenance wave over pools, without a time window."""
     return Wave(
         id="wave",
         pools=list(pools),
@@ -52,7 +52,7 @@
 
 
 def default_settings() -> NodeSettings:
-    """Make a node's settings with every default; what has none stays empty."""
+    """Make a node's settings from the defaults; options without a default stay empty."""
     settings = NodeSettings()
     for name, message in settings.sections().items():
         fill_message(message, IniSection("defaults", name, 0))
@@ -60,14 +60,14 @@
 
 
 def quiet_loop() -> None:
-    """Switch off the debug mode of unittest's loop, which reports every slow step."""
+    """Switch off the debug mode of unittest's event loop, which logs every slow callback."""
     loop = asyncio.get_running_loop()
     loop.set_debug(False)
     loop.slow_callback_duration = float("inf")
 
 
 class ClusterCase(unittest.IsolatedAsyncioTestCase):
-    """Tests against real processes; each test starts what it needs."""
+    """A test case against real processes; each test starts those that it needs."""
 
     reboot_ms = 200
 
@@ -91,7 +91,7 @@
         racks: int = 4,
         **sections: dict[str, str],
     ) -> None:
-        """Start processes, apply a declaration and wait until its pools are full."""
+        """Start processes, apply a declaration and wait until its pools are full and routed."""
         self.platform = self.launcher.start_platform(self.reboot_ms)
         self.orders = PlatformOrders(self.platform)
         self.backends = [self.launcher.start_backend(f"b{n}", work_ms) for n in range(backends)]
@@ -108,18 +108,18 @@
     def start_role(
         self, role: str, number: int, sections: dict[str, dict[str, str]] | None = None
     ) -> Child:
-        """Start one entry or manager without waiting for it."""
+        """Start one entry or manager without waiting until it is ready."""
         name = f"{role}-{number}"
         return self.launcher.start_role(role, name, self.platform, sections)
 
     async def apply(self, declaration: Declaration) -> int:
-        """Apply a declaration and return its revision."""
+        """Apply a declaration on top of the present revision; return the new revision."""
         base = (await self.operator.status()).revision
         request = ApplyRequest(schema_version=SCHEMA_VERSION, put=declaration, base_revision=base)
         return (await self.operator.apply(request)).revision
 
     async def status(self) -> StatusResponse:
-        """Ask the first manager for the state."""
+        """Fetch the status from the first manager."""
         return await self.operator.status()
 
     async def wait_full(self) -> None:
@@ -127,13 +127,13 @@
 
         async def full() -> bool:
             status = await self.status()
-            ready = all(p.available == p.size for p in status.pools) and bool(status.pools)
-            return ready and all([await self.routes(entry) for entry in self.entries])
+            pools_full = all(p.available == p.size for p in status.pools) and bool(status.pools)
+            return pools_full and all([await self.routes(entry) for entry in self.entries])
 
         await wait_until(full, "every pool is full and routed")
 
     async def routes(self, entry: Child) -> bool:
-        """Tell whether an entry is at the revision of the first manager."""
+        """Return whether an entry routes to just the instances that serve at the first manager."""
         dump = (await self.http.get(f"{entry.admin_url}/dump")).json()
         status = await self.status()
         routed = {name for pool in dump["pools"].values() for name in pool["backends"]}
@@ -145,23 +145,23 @@
         return bool(dump["revision"] >= status.revision and routed == serving)
 
     async def runs(self, key: str) -> int:
-        """Count how often a not-repeatable request ran on any backend server."""
+        """Count how often an at-most-once request ran, over all backend servers."""
         states = [await BackendOrders(backend).inspect() for backend in self.backends]
         return sum(run.key == key for state in states for run in state.runs)
 
     async def post(
         self, entry: Child, key: str, *, pool: str = "issuance", timeout_ms: int = 5000
     ) -> httpx.Response:
-        """Send a not-repeatable request."""
+        """Send an at-most-once request."""
         headers = {"idempotency-key": key, "pumicespur-timeout-ms": str(timeout_ms)}
         return await self.http.post(f"{entry.url}/{pool}/licences", headers=headers, content=key)
 
 
-def outcome_of(answer: httpx.Response) -> str:
-    """Return what an answer says of its request."""
-    return str(answer.headers["pumicespur-outcome"])
+def outcome_of(response: httpx.Response) -> str:
+    """Return the outcome header of a response."""
+    return str(response.headers["pumicespur-outcome"])
 
 
 def one_pool(size: int, minimum: int, waves: Sequence[Wave] = ()) -> Declaration:
-    """Declare the pool `issuance` alone."""
+    """Make a declaration with the single pool `issuance`."""
     return Declaration(pools=[make_pool("issuance", size, minimum)], waves=list(waves))
