--- a/soak/_leaving.py
+++ b/soak/_leaving.py
@@ -77,7 +77,7 @@
     faults = world.store.faults
     where, what = {
         FaultKind.LIST_UNREAD: (faults.refused_tables, "servers"),
-        FaultKind.LIST_UNTOLD: (faults.deaf_tables, "servers"),
+        FaultKind.LIST_UNTOLD: (faults.stalled_feeds, "servers"),
         FaultKind.COMMITS_REFUSED: (faults.refused_callers, WORKER_ID_PREFIX),
     }[fault.kind]
     where.add(what)
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -140,7 +140,7 @@
         await self.take_down(name)
         if pool is not None:
             successor = HostedWorker(f"{worker.id}-next", pool, name, worker.rack, self.history)
-            await self._begin_life(successor, int(worker.address.rpartition(":")[2]))
+            await self._start_incarnation(successor, int(worker.address.rpartition(":")[2]))
             await self.publish(successor)
             return
         await asyncio.sleep(for_s)
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -27,7 +27,7 @@
     WaveAction,
     WaveRequest,
 )
-from standins.checker import lowest_availability, pool_clashes
+from standins.checker import lowest_availability, undrained_moves
 from standins.launcher import BackendOrders, Child, wait_until
 from standins.schema.standins_pb import HistoryEvent, PlatformFault
 from tests.base import ClusterCase, make_pool, make_wave, one_pool, outcome_of
@@ -95,7 +95,7 @@
         history = await self.orders.history()
         for pool, seen in lowest_availability(history).items():
             self.assertGreaterEqual(seen.lowest, seen.minimum, pool)
-        self.assertEqual(pool_clashes(history), [])
+        self.assertEqual(undrained_moves(history), [])
         reboot_orders = [event for event in history.events if event.kind == "order-reboot"]
         self.assertEqual(len(reboot_orders), reboots)
         self.assertEqual(len({event.token for event in reboot_orders}), reboots)
@@ -232,7 +232,7 @@
         history = await self.orders.history()
         seen = lowest_availability(history)["issuance"]
         self.assertGreaterEqual(seen.lowest, seen.minimum)
-        self.assertEqual(pool_clashes(history), [])
+        self.assertEqual(undrained_moves(history), [])
 
     async def test_wave_halts_when_rebooted_instances_stay_down(self) -> None:
         timeouts = {"reboot_timeout_s": "1", "missing_s": "600"}
@@ -263,7 +263,7 @@
             for _ in range(5):
                 response = await self.http.get(f"{self.entries[0].url}/issuance/x")
                 self.assertEqual(response.status_code, 200)
-            await self.orders.heal()
+            await self.orders.lift_faults()
         await self.wait_for_phase(WavePhase.DONE)
         await self.assert_guarantees()
 
@@ -286,7 +286,7 @@
         before = len(await self.orders.records())
         await anyio.sleep(0.5)  # enough for several planning rounds
         self.assertEqual(len(await self.orders.records()), before)
-        await self.orders.heal()
+        await self.orders.lift_faults()
         await self.control_wave(WaveAction.START)
         await self.wait_for_phase(WavePhase.DONE)
         await self.assert_guarantees()
@@ -307,7 +307,7 @@
         with self.assertRaises(UnreachableError) as caught:
             await self.apply(declaration)
         self.assertIn("nothing was changed", str(caught.exception))
-        await self.orders.heal()
+        await self.orders.lift_faults()
         self.assertFalse([r for r in await self.orders.records() if declares_pool(r, "late")])
 
 
--- a/tests/test_crash_attribution.py
+++ b/tests/test_crash_attribution.py
@@ -101,7 +101,7 @@
     """The crashed workers restart under their names."""
 
     async def test_its_job_fails_and_other_jobs_complete(self) -> None:
-        self.world.names_kept = True
+        self.world.crashed_workers_keep_ids = True
         await self.check_outcome(await self.submit_all())
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -273,7 +273,7 @@
         await self.check_moved(job)
 
     async def test_a_list_is_read_in_full_in_time_if_its_changes_get_no_response(self) -> None:
-        deaf = self.world.store.faults.deaf_tables
+        deaf = self.world.store.faults.stalled_feeds
         await self.leave_unnoticed(deaf)
         await asyncio.sleep(DRAIN_S + 0.1)
         await self.check_moved(await self.submit(3))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -117,7 +117,7 @@
     async def test_the_next_incarnation_refuses_it_too(self) -> None:
         worker = self.world.workers["m-0"]
         worker.faults.late_starts_s = 3.0
-        worker.faults.late_starts_unbarred = True
+        worker.faults.late_starts_ignore_stops = True
         await self.world.submit(self.node, job_id(702), [LONG_RUNNING], payload="lasts")
         await self.world.wait_for(lambda: bool(worker.refused), "the start is revoked")
         self.world.resize_worker("m-0", LONE["cpu"] // 2)
