--- a/pumicespur/jobs/_access.py
+++ b/pumicespur/jobs/_access.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from pumicespur.model import ANYONE
+from pumicespur.model import ANONYMOUS_ACCOUNT
 
 if TYPE_CHECKING:
     from pumicespur.model import AccountId, Route
@@ -24,4 +24,4 @@
     """
     if not job.account or job.account == caller:
         return True
-    return caller == ANYONE and job.route == route.name
+    return caller == ANONYMOUS_ACCOUNT and job.route == route.name
--- a/pumicespur/jobs/_job.py
+++ b/pumicespur/jobs/_job.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.model import (
-    ANYONE,
+    ANONYMOUS_ACCOUNT,
     AccountId,
     InstanceId,
     JobId,
@@ -106,7 +106,7 @@
     ticket: str = ""
     """Admission ticket of the advice service for the current worker."""
     measurement: float = 0.0
-    """Measured latency (ms) or processor use, see `Running`."""
+    """Measured latency (ms) or processor use, see `ActiveRun`."""
     unavailable_since: float | None = None
     """Monotonic time since which a long-running task has not been available, in seconds."""
 
@@ -192,7 +192,7 @@
     """Time of day by which the job should be completed, in milliseconds since 1970."""
     critical_paths_ms: list[float] = field(default_factory=list)
     """Critical path from the start of each step to the end of the job, in milliseconds."""
-    account: AccountId = ANYONE
+    account: AccountId = ANONYMOUS_ACCOUNT
     """The submitting account; it stays the same if the key of the submission is revoked."""
     exceeds_share: bool = False
     """Its account was beyond its fair share when the job was submitted."""
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -36,7 +36,7 @@
     from pumicespur.jobs._job import StepGroup
     from pumicespur.jobs._lease import EarlierLeases
     from pumicespur.jobs._pool import RunKey
-    from pumicespur.model import TaskEnd, Worker
+    from pumicespur.model import EndedRun, Worker
     from pumicespur.platform import PlatformTable, WorkerOrders
     from pumicespur.schema.jobs_pb import PartRecord, PoolReport
     from pumicespur.view import NodeView
@@ -314,7 +314,7 @@
             self.pool.resolve_inherited(worker)
         self.wake()
 
-    def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
+    def note_end(self, worker: WorkerId, end: EndedRun, now: float) -> None:
         """Process the end of a run; it is acknowledged once it is recorded."""
         task = self.pool.find_task(end.task)
         log.info(
@@ -324,9 +324,9 @@
             run=end.run,
             newest_run=task.run if task else None,
             worker=worker,
-            how=end.how.value,
+            how=end.outcome.value,
         )
-        METRICS.tasks.inc({"pool": self.pool.pool, "how": end.how.value})
+        METRICS.tasks.inc({"pool": self.pool.pool, "how": end.outcome.value})
         self.pool.note_end(worker, end, now)
         if task is not None and task.job.ended:
             log.info("job ended", job=task.job.id, phase=task.job.phase.name)
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -35,9 +35,9 @@
         AccountId,
         Capacity,
         Configuration,
+        EndedRun,
         PoolId,
         Rack,
-        TaskEnd,
         Worker,
         WorkerName,
     )
@@ -282,13 +282,13 @@
         if not task.job.ended:
             self.dirty.add(task.job)
 
-    def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
+    def note_end(self, worker: WorkerId, end: EndedRun, now: float) -> None:
         """Apply the end of a run as reported by its worker."""
         task = self.find_task(end.task)
         if task is None or task.job.ended or task.state is TaskState.DONE:
             return
         newest = task.run == end.run and task.worker == worker
-        if end.how is RunEnd.DONE:
+        if end.outcome is RunEnd.DONE:
             if newest and task.state is TaskState.RUNNING and task.started_at:
                 actual_ms = (now - task.started_at) * 1000
                 self.estimates.add_task(task.job.route, task.spec.estimated_ms, actual_ms)
@@ -296,9 +296,9 @@
         elif newest:
             self._fail(task, end)
         load = self.loads.get(worker)
-        if load is None or end.how not in (RunEnd.DONE, RunEnd.FAILED):
+        if load is None or end.outcome not in (RunEnd.DONE, RunEnd.FAILED):
             return
-        if load.note_result(end.how is RunEnd.DONE, now):
+        if load.note_result(end.outcome is RunEnd.DONE, now):
             log.warning("worker ejected", pool=self.pool, worker=worker, reason="failures")
 
     def _finish(self, task: Task, worker: WorkerId) -> None:
@@ -311,8 +311,8 @@
             member.job.finish_task(member)
         self.dirty.add(task.job)
 
-    def _fail(self, task: Task, end: TaskEnd) -> None:
-        if end.how is RunEnd.FAILED and not task.spec.long_running:
+    def _fail(self, task: Task, end: EndedRun) -> None:
+        if end.outcome is RunEnd.FAILED and not task.spec.long_running:
             self._count_failure(task, end.run)
         if task.spec.gang and end.checkpoint:
             task.group.gang_checkpoint = end.checkpoint
--- a/pumicespur/jobs/_restarts.py
+++ b/pumicespur/jobs/_restarts.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.jobs._lease import EarlierLeases
-from pumicespur.model import birth_ms, worker_name
+from pumicespur.model import start_time_ms, worker_name
 from pumicespur.utils import now_ms
 
 if TYPE_CHECKING:
@@ -78,10 +78,10 @@
 
     def _may_hold_earlier_lease(self, worker: Worker, now: float) -> bool:
         """Whether an earlier owner may have sent its last orders to the previous incarnation."""
-        born_ms = birth_ms(worker.id)
-        if born_ms is None or self.earlier.until <= now:
+        start_ms = start_time_ms(worker.id)
+        if start_ms is None or self.earlier.until <= now:
             return False
-        return now_ms() - born_ms < (self._max_lease_s() + MAX_CLOCK_DIFFERENCE_S) * 1000
+        return now_ms() - start_ms < (self._max_lease_s() + MAX_CLOCK_DIFFERENCE_S) * 1000
 
     def _max_lease_s(self) -> float:
         """Return how long a worker runs at most after an order, in seconds on the local clock."""
--- a/pumicespur/jobs/_service.py
+++ b/pumicespur/jobs/_service.py
@@ -12,7 +12,7 @@
 from pumicespur.jobs._access import is_visible_to
 from pumicespur.jobs._job import ENDED_PHASES
 from pumicespur.jobs._keys import progress_key, submission_key
-from pumicespur.model import AccountId, Cancellation, JobId, Submission
+from pumicespur.model import AccountId, CancellationOutcome, JobId, SubmissionOutcome
 from pumicespur.schema.jobs_pb import JobPhase, JobRecord, ProgressRecord
 from pumicespur.store import AnswerLost, Condition, Conflict, Row, Transaction, Write
 from pumicespur.utils import monotonic
@@ -43,7 +43,7 @@
         self.other_pools = other_pools
         """Other pools that may have jobs of a route: all, or only its earlier ones if true."""
 
-    async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
+    async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> SubmissionOutcome:
         """Record a job; an id that is recorded already counts as accepted.
 
         `give_up_at` is the monotonic time by which the caller needs a response.
@@ -53,7 +53,9 @@
         # The store may still apply the call that was cancelled.
         return self._refuse(route, JobId(record.id), True, AnswerLost("no response in time"))
 
-    async def _submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
+    async def _submit(
+        self, route: Route, record: JobRecord, give_up_at: float
+    ) -> SubmissionOutcome:
         pool = route.pool
         job = JobId(record.id)
         key = submission_key(pool, job)
@@ -61,7 +63,7 @@
         for earlier in self.other_pools(route, True):
             found = await self._find(earlier, job, give_up_at)
             if found.is_error():
-                return Submission.NOT_TAKEN
+                return SubmissionOutcome.NOT_ACCEPTED
             if found.ok is not None:
                 return _resubmission_outcome(route, record, found.ok)
         may_be_recorded = False
@@ -71,7 +73,7 @@
             match response:
                 case Result(tag="ok", ok=version):
                     log.info("job accepted", job=job, route=route.name, pool=pool, version=version)
-                    return Submission.ACCEPTED
+                    return SubmissionOutcome.ACCEPTED
                 case Result(error=Conflict(rows=rows)):
                     known = [JobRecord.from_binary(row.value) for row in rows if row.key == key]
                     return _resubmission_outcome(route, record, *known)
@@ -82,8 +84,10 @@
             await anyio.sleep(pause_s * random.uniform(0.5, 1.0))
             pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
 
-    def _refuse(self, route: Route, job: JobId, may_be_recorded: bool, error: Fault) -> Submission:
-        outcome = Submission.UNKNOWN if may_be_recorded else Submission.NOT_TAKEN
+    def _refuse(
+        self, route: Route, job: JobId, may_be_recorded: bool, error: Fault
+    ) -> SubmissionOutcome:
+        outcome = SubmissionOutcome.UNKNOWN if may_be_recorded else SubmissionOutcome.NOT_ACCEPTED
         log.warning(
             "job refused",
             job=job,
@@ -150,39 +154,39 @@
 
     async def cancel(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
-    ) -> Cancellation:
+    ) -> CancellationOutcome:
         """Record that a job is cancelled; the pool's owner stops it."""
         with anyio.CancelScope(deadline=give_up_at):
             return await self._cancel(route, caller, job, give_up_at)
-        return Cancellation.UNKNOWN
+        return CancellationOutcome.UNKNOWN
 
     async def _cancel(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
-    ) -> Cancellation:
+    ) -> CancellationOutcome:
         for pool in (route.pool, *self.other_pools(route, False)):
             outcome = await self._cancel_in(pool, route, caller, job, give_up_at)
-            if outcome is not Cancellation.NO_SUCH_JOB:
+            if outcome is not CancellationOutcome.NO_SUCH_JOB:
                 return outcome
-        return Cancellation.NO_SUCH_JOB
+        return CancellationOutcome.NO_SUCH_JOB
 
     async def _cancel_in(
         self, pool: PoolId, route: Route, caller: AccountId, job: JobId, give_up_at: float
-    ) -> Cancellation:
+    ) -> CancellationOutcome:
         key = submission_key(pool, job)
         while True:
             found = await self._read(key, give_up_at)
             match found:
                 case Result(tag="ok", ok=row) if row.version and not _has_ended(row):
                     if not is_visible_to(caller, route, JobRecord.from_binary(row.value)):
-                        return Cancellation.NO_SUCH_JOB
+                        return CancellationOutcome.NO_SUCH_JOB
                     response = await self._write_cancellation(row)
                     if response.is_ok():
                         log.info("job cancelled", job=job, route=route.name, version=response.ok)
-                        return Cancellation.DONE
+                        return CancellationOutcome.DONE
                 case Result(tag="ok"):
                     return await self._cancel_missing(pool, route, caller, job, give_up_at)
             if monotonic() + MAX_RETRY_DELAY_S >= give_up_at:
-                return Cancellation.UNKNOWN
+                return CancellationOutcome.UNKNOWN
             await anyio.sleep(RETRY_DELAY_S * random.uniform(0.5, 1.0))
 
     async def _write_cancellation(self, row: Row) -> Result[int, Fault]:
@@ -196,22 +200,22 @@
 
     async def _cancel_missing(
         self, pool: PoolId, route: Route, caller: AccountId, job: JobId, give_up_at: float
-    ) -> Cancellation:
+    ) -> CancellationOutcome:
         """Determine the outcome for a job that has no unfinished submission row."""
         found = await self._read(progress_key(pool, job), give_up_at)
         match found:
             case Result(tag="ok", ok=row) if row.version:
                 progress = ProgressRecord.from_binary(row.value)
                 if not is_visible_to(caller, route, progress):
-                    return Cancellation.NO_SUCH_JOB
+                    return CancellationOutcome.NO_SUCH_JOB
                 if progress.phase is JobPhase.CANCELLED:
-                    return Cancellation.DONE
+                    return CancellationOutcome.DONE
                 ended = progress.phase in ENDED_PHASES
-                return Cancellation.NO_SUCH_JOB if ended else Cancellation.UNKNOWN
+                return CancellationOutcome.NO_SUCH_JOB if ended else CancellationOutcome.UNKNOWN
             case Result(tag="ok"):
-                return Cancellation.NO_SUCH_JOB
+                return CancellationOutcome.NO_SUCH_JOB
             case _:
-                return Cancellation.UNKNOWN
+                return CancellationOutcome.UNKNOWN
 
     async def _read(self, key: str, give_up_at: float) -> Result[Row, Fault]:
         pause_s = RETRY_DELAY_S
@@ -228,14 +232,14 @@
 
 def _resubmission_outcome(
     route: Route, record: JobRecord, *known: JobRecord | ProgressRecord
-) -> Submission:
+) -> SubmissionOutcome:
     """Return the outcome for an id that is recorded already: accepted if it is the caller's."""
     caller = AccountId(record.account)
     if not all(is_visible_to(caller, route, job) for job in known):
         log.warning("job refused", job=record.id, route=route.name, reason="id of another account")
-        return Submission.FOREIGN
+        return SubmissionOutcome.OTHER_ACCOUNT
     log.info("job accepted", job=record.id, route=route.name, repeat=True)
-    return Submission.ACCEPTED
+    return SubmissionOutcome.ACCEPTED
 
 
 def _has_ended(row: Row) -> bool:
--- a/pumicespur/jobs/_session_owner.py
+++ b/pumicespur/jobs/_session_owner.py
@@ -11,7 +11,7 @@
     from pumicespur.jobs._job import StepGroup
     from pumicespur.jobs._known_state import KnownState
     from pumicespur.jobs._pool import PoolState, RunKey
-    from pumicespur.model import TaskEnd, WorkerId
+    from pumicespur.model import EndedRun, WorkerId
     from pumicespur.platform import WorkerOrders
 
 
@@ -35,7 +35,7 @@
     def spawn(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
         """Run a coroutine concurrently with the rounds."""
 
-    def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
+    def note_end(self, worker: WorkerId, end: EndedRun, now: float) -> None:
         """Process the end of a run."""
 
     def stop_gang(self, group: StepGroup, run: int) -> None:
--- a/pumicespur/jobs/_worker_session.py
+++ b/pumicespur/jobs/_worker_session.py
@@ -18,7 +18,7 @@
 from pumicespur.jobs._lease import WorkerLease
 from pumicespur.jobs._stops import UnwantedRuns, mark_stalled
 from pumicespur.jobs._worker_starts import WorkerStarts
-from pumicespur.model import FENCED, Account, OtherLife, Refused, StartedAgain
+from pumicespur.model import FENCED_REASON, OtherLife, Refused, StartedAgain, WorkerStatus
 from pumicespur.utils import METRICS, monotonic
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     from pumicespur.jobs._lease import EarlierLeases
     from pumicespur.jobs._pool import RunKey
     from pumicespur.jobs._session_owner import SessionOwner
-    from pumicespur.model import Running, TaskName, Worker
+    from pumicespur.model import ActiveRun, TaskName, Worker
 
 log = Logger(__name__)
 
@@ -158,13 +158,13 @@
             case Result(error=StartedAgain()):
                 self.end_restarted(leased=deadline is not None)
                 return True
-            case Result(error=Refused(reason=reason)) if reason == FENCED:
+            case Result(error=Refused(reason=reason)) if reason == FENCED_REASON:
                 raise OwnershipLostError(f"worker {self.id} has seen a newer token")
             case Result(error=error):
                 self.note_failure(str(error))
                 return False
 
-    def _log_inconsistencies(self, status: Account, acknowledged: int) -> None:
+    def _log_inconsistencies(self, status: WorkerStatus, acknowledged: int) -> None:
         """Log a clock that went back or ends listed again, which one incarnation can't report."""
         clock_ms = self.lease.clock_ms or 0.0
         again = [end.number for end in status.ended if end.number <= acknowledged]
@@ -190,7 +190,7 @@
             )
         self.load.reachable = False
 
-    async def _apply_status(self, status: Account, sent_at: float) -> None:
+    async def _apply_status(self, status: WorkerStatus, sent_at: float) -> None:
         if not self.load.reachable:
             log.info("worker reachable", pool=self.owner.pool.pool, worker=self.id)
             self.load.reachable = True
@@ -218,7 +218,7 @@
             self.owner.spawn(self.stop, task.name, task.run, "no progress")
 
     def _update_running_tasks(
-        self, running: dict[tuple[TaskName, int], Running], sent_at: float, now: float
+        self, running: dict[tuple[TaskName, int], ActiveRun], sent_at: float, now: float
     ) -> None:
         for task in list(self.load.tasks):
             found = running.get((task.name, task.run))
@@ -238,7 +238,7 @@
             if found.percent == ACTIVE_PERCENT and task.stopping_run != task.run:
                 task.unavailable_since = None
             task.checkpoint = found.checkpoint
-            task.measurement = found.figure
+            task.measurement = found.measurement
 
     def _note_unknown_runs(self, running: Iterable[tuple[TaskName, int]]) -> None:
         """Note whether the worker has runs whose resources are not counted.
--- a/pumicespur/jobs/_worker_starts.py
+++ b/pumicespur/jobs/_worker_starts.py
@@ -11,7 +11,7 @@
 from pumicespur.jobs._journal import OwnershipLostError
 from pumicespur.jobs._known_state import start_timeout_s
 from pumicespur.jobs._unconfirmed_starts import UnconfirmedStarts, UnresolvedStart
-from pumicespur.model import FENCED, OtherLife, Refused, StartOrder
+from pumicespur.model import FENCED_REASON, OtherLife, Refused, StartOrder
 from pumicespur.store import AnswerLost, Unavailable
 from pumicespur.utils import METRICS, monotonic
 
@@ -19,7 +19,7 @@
     from pumicespur.jobs._job import Task
     from pumicespur.jobs._known_state import KnownState
     from pumicespur.jobs._worker_session import WorkerSession
-    from pumicespur.model import Running, TaskName
+    from pumicespur.model import ActiveRun, TaskName
 
 log = Logger(__name__)
 
@@ -137,7 +137,7 @@
             case Result(error=OtherLife()):
                 self.requeue_if_unchanged(task, run, "another incarnation responded")
                 self.session.end("another incarnation responded")
-            case Result(error=Refused(reason=reason)) if reason == FENCED:
+            case Result(error=Refused(reason=reason)) if reason == FENCED_REASON:
                 raise OwnershipLostError(f"worker {self.id} has seen a newer token")
             case Result(error=Refused(reason=reason)):
                 self._note_refusal(task, reason, sent_at)
@@ -192,7 +192,7 @@
         if start is not None and start.ordered_to is not None:
             self.owner.pool.retract_loss(task, start.ordered_to)
 
-    async def resolve(self, running: dict[tuple[TaskName, int], Running], sent_at: float) -> None:
+    async def resolve(self, running: dict[tuple[TaskName, int], ActiveRun], sent_at: float) -> None:
         """Determine whether starts without a response have begun.
 
         A stop revokes a run, so that a start that arrives later is refused. The run may have ended
--- a/pumicespur/model/_accounts.py
+++ b/pumicespur/model/_accounts.py
@@ -14,7 +14,7 @@
 KeyDigest = NewType("KeyDigest", bytes)
 """Digest of an API key: enough to recognize the key, not enough to call with it."""
 
-ANYONE = AccountId("")
+ANONYMOUS_ACCOUNT = AccountId("")
 """The account of callers of public routes, which need no key."""
 
 DIGEST_BYTES = 16
@@ -41,6 +41,6 @@
     return KeyDigest(hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES).digest())
 
 
-def digest_signs(digest: KeyDigest) -> str:
+def digest_prefix(digest: KeyDigest) -> str:
     """Return the first hexadecimal digits of a digest, for logs and operators."""
     return digest.hex()[:DIGEST_PREFIX_DIGITS]
--- a/pumicespur/model/_configuration.py
+++ b/pumicespur/model/_configuration.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Advice:
+class AdviceSettings:
     """Cost of a call to the placement advice service, and validity of the admission tickets."""
 
     decide_s: float
@@ -35,7 +35,7 @@
     stretch: float
     """Max duration of an on-time job, as a multiple of the duration of its critical path."""
     latency_objective_s: float
-    advice: Advice | None = None
+    advice: AdviceSettings | None = None
     public: bool = True
     """Whether callers need no key."""
 
@@ -45,7 +45,7 @@
     """A pool as the operators declare it."""
 
     id: PoolId
-    guarded: bool
+    has_admission_check: bool
     """Whether its workers refuse tasks that do not fit (admission check)."""
     spare: bool
     """Whether its instances are switched off and cost nothing."""
--- a/pumicespur/model/_ids.py
+++ b/pumicespur/model/_ids.py
@@ -36,14 +36,14 @@
 """Separates a worker's name from the start time of the incarnation."""
 
 
-def worker_id(name: WorkerName, born_ms: int | None) -> WorkerId:
+def worker_id(name: WorkerName, start_ms: int | None) -> WorkerId:
     """Return the id of one incarnation of a worker.
 
-    `born_ms` is the start time of the incarnation in milliseconds since 1970, None where the
+    `start_ms` is the start time of the incarnation in milliseconds since 1970, None where the
     platform does not report it. All data about a worker is kept under this id, so that the data of
     one incarnation is never applied to the next.
     """
-    return WorkerId(name if born_ms is None else f"{name}{INCARNATION_SEPARATOR}{born_ms}")
+    return WorkerId(name if start_ms is None else f"{name}{INCARNATION_SEPARATOR}{start_ms}")
 
 
 def worker_name(worker: WorkerId) -> WorkerName:
@@ -52,7 +52,7 @@
     return WorkerName(name if separator and start.isdigit() else worker)
 
 
-def birth_ms(worker: WorkerId) -> int | None:
+def start_time_ms(worker: WorkerId) -> int | None:
     """Return the start time of an incarnation in ms since 1970; None where it is not reported."""
     start = worker.removeprefix(worker_name(worker)).removeprefix(INCARNATION_SEPARATOR)
     return int(start) if start else None
--- a/pumicespur/model/_orders.py
+++ b/pumicespur/model/_orders.py
@@ -7,10 +7,10 @@
 
 if TYPE_CHECKING:
     from pumicespur.model._ids import TaskName
-    from pumicespur.model._workers import Running, TaskEnd
+    from pumicespur.model._workers import ActiveRun, EndedRun
 
 
-FENCED = "fence"
+FENCED_REASON = "fence"
 """Reason of a worker that refuses an order with an outdated fencing token."""
 
 
@@ -33,12 +33,12 @@
 
 
 @dataclass(frozen=True)
-class Account:
+class WorkerStatus:
     """Status of a worker: its running and ended runs, at `clock_ms` of its own clock."""
 
     clock_ms: float
-    running: list[Running]
-    ended: list[TaskEnd]
+    running: list[ActiveRun]
+    ended: list[EndedRun]
 
 
 @dataclass(frozen=True)
--- a/pumicespur/model/_outcomes.py
+++ b/pumicespur/model/_outcomes.py
@@ -5,19 +5,19 @@
 from enum import Enum
 
 
-class Submission(Enum):
+class SubmissionOutcome(Enum):
     """Outcome of the submission of a job."""
 
     ACCEPTED = "accepted"
-    NOT_TAKEN = "not taken"
+    NOT_ACCEPTED = "not taken"
     """It is not recorded, nor will it be later."""
     UNKNOWN = "unknown"
     """Whether it is recorded is not known."""
-    FOREIGN = "of another account"
+    OTHER_ACCOUNT = "of another account"
     """A job of another client account has this id."""
 
 
-class Cancellation(Enum):
+class CancellationOutcome(Enum):
     """Outcome of a request to cancel a job."""
 
     DONE = "done"
--- a/pumicespur/model/_workers.py
+++ b/pumicespur/model/_workers.py
@@ -88,32 +88,32 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    EXPIRED = "lapsed"
     """Its lease expired."""
-    BROKEN = "broken"
+    GANG_BROKEN = "broken"
     """Another member of its gang ended."""
-    ALONE = "alone"
+    GANG_INCOMPLETE = "alone"
     """It waited too long for the other members of its gang."""
 
 
 @dataclass(frozen=True)
-class Running:
+class ActiveRun:
     """A run that is active on a worker."""
 
     task: TaskName
     run: int
     checkpoint: str
     percent: int
-    figure: float
+    measurement: float
     """Measured latency in milliseconds for a serving task, CPU usage for any other."""
 
 
 @dataclass(frozen=True)
-class TaskEnd:
+class EndedRun:
     """The end of a run, which a worker lists until the owner acknowledges it as recorded."""
 
     number: int
     task: TaskName
     run: int
-    how: RunEnd
+    outcome: RunEnd
     checkpoint: str
--- a/pumicespur/node/_refusals.py
+++ b/pumicespur/node/_refusals.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pumicespur.model import digest_signs
+from pumicespur.model import digest_prefix
 
 if TYPE_CHECKING:
     from pumicespur.model import JobId, KeyDigest
@@ -45,7 +45,7 @@
         return {
             "job": job,
             "refused": _reason(refusal, view),
-            "key": None if refusal.digest is None else digest_signs(refusal.digest),
+            "key": None if refusal.digest is None else digest_prefix(refusal.digest),
             "configuration_version": refusal.version,
         }
 
--- a/pumicespur/node/_workers.py
+++ b/pumicespur/node/_workers.py
@@ -9,7 +9,7 @@
 from logbook import Logger
 
 from pumicespur.jobs import workers_max_age_s
-from pumicespur.model import WorkerName, birth_ms
+from pumicespur.model import WorkerName, start_time_ms
 from pumicespur.node._table_follower import FallbackRead, RescanPolicy, TableFollower
 from pumicespur.platform import WORKERS_TABLE, decode_worker
 from pumicespur.store import Reading
@@ -146,6 +146,6 @@
     report none, the platform gives each incarnation a name of its own.
     """
     with_start_time = {
-        name: worker for name, worker in entries.items() if birth_ms(worker.id) is not None
+        name: worker for name, worker in entries.items() if start_time_ms(worker.id) is not None
     }
     return with_start_time if 2 * len(with_start_time) >= len(entries) else dict(entries)
--- a/pumicespur/platform/_callers.py
+++ b/pumicespur/platform/_callers.py
@@ -11,12 +11,12 @@
 
 from pumicespur.listeners import bound_to, listen_at
 from pumicespur.model import (
-    ANYONE,
+    ANONYMOUS_ACCOUNT,
     AccountId,
-    Cancellation,
+    CancellationOutcome,
     JobId,
-    Submission,
-    digest_signs,
+    SubmissionOutcome,
+    digest_prefix,
     key_digest,
 )
 from pumicespur.schema.jobs_pb import JobPhase, JobRecord, StepRecord
@@ -90,7 +90,7 @@
 class JobApi(Protocol):
     """What callers can do with jobs; `give_up_at` is in monotonic seconds."""
 
-    async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> Submission:
+    async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> SubmissionOutcome:
         """Record a job."""
 
     async def state(
@@ -100,7 +100,7 @@
 
     async def cancel(
         self, route: Route, caller: AccountId, job: JobId, give_up_at: float
-    ) -> Cancellation:
+    ) -> CancellationOutcome:
         """Record the cancellation of a job."""
 
 
@@ -221,7 +221,7 @@
     ) -> AccountId | None:
         """Return the account of a caller, or None if the route needs a key and none is in force."""
         if route.public:
-            return ANYONE
+            return ANONYMOUS_ACCOUNT
         key = bearer_key(request.headers.get("Authorization", ""))
         digest = None if key is None else key_digest(key)
         caller = None if digest is None else configuration.keys.get(digest)
@@ -232,7 +232,7 @@
                 job=job,
                 route=route.name,
                 method=request.method,
-                key=None if digest is None else digest_signs(digest),
+                key=None if digest is None else digest_prefix(digest),
                 version=configuration.version,
             )
         return caller
@@ -264,13 +264,13 @@
                 outcome = await self.context.jobs.submit(route, job, give_up_at)
                 METRICS.jobs.inc({"outcome": outcome.value})
         match outcome:
-            case Submission.ACCEPTED:
+            case SubmissionOutcome.ACCEPTED:
                 return _json_response(200, {"state": "queued"})
-            case Submission.NOT_TAKEN:
+            case SubmissionOutcome.NOT_ACCEPTED:
                 return _error_response(503, "the job was not taken")
-            case Submission.UNKNOWN:
+            case SubmissionOutcome.UNKNOWN:
                 return _error_response(504, "whether the job was taken is not known; ask again")
-            case Submission.FOREIGN:
+            case SubmissionOutcome.OTHER_ACCOUNT:
                 return _error_response(409, "the id can't be used")
 
     async def _read_state(
@@ -291,11 +291,11 @@
     ) -> web.Response:
         outcome = await self.context.jobs.cancel(route, caller, job, give_up_at)
         match outcome:
-            case Cancellation.DONE:
+            case CancellationOutcome.DONE:
                 return _json_response(200, {"state": "cancelled"})
-            case Cancellation.NO_SUCH_JOB:
+            case CancellationOutcome.NO_SUCH_JOB:
                 return _error_response(410, "no such job to cancel")
-            case Cancellation.UNKNOWN:
+            case CancellationOutcome.UNKNOWN:
                 return _error_response(504, "whether the job is cancelled is not known; ask again")
 
 
--- a/pumicespur/platform/_declarations.py
+++ b/pumicespur/platform/_declarations.py
@@ -10,7 +10,7 @@
 
 from pumicespur.model import (
     AccountId,
-    Advice,
+    AdviceSettings,
     CallerLimits,
     Capacity,
     ClientAccount,
@@ -273,7 +273,7 @@
     advice = None
     if route.advice is not None:
         declared = route.advice
-        advice = Advice(
+        advice = AdviceSettings(
             declared.decide_ms / 1000,
             declared.each_ms / 1000,
             declared.valid_ms / 1000,
--- a/pumicespur/platform/_orders.py
+++ b/pumicespur/platform/_orders.py
@@ -8,15 +8,15 @@
 from expression import Error, Ok, Result
 
 from pumicespur.model import (
-    Account,
+    ActiveRun,
+    EndedRun,
     OtherLife,
     Refused,
     RunEnd,
-    Running,
     StartedAgain,
-    TaskEnd,
     TaskName,
     WorkerName,
+    WorkerStatus,
     worker_id,
     worker_name,
 )
@@ -151,7 +151,7 @@
 
     async def hold(
         self, worker: Worker, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
-    ) -> Result[Account, OtherLife | StartedAgain | Refused | Unavailable | AnswerLost]:
+    ) -> Result[WorkerStatus, OtherLife | StartedAgain | Refused | Unavailable | AnswerLost]:
         """Renew the lease of all runs, acknowledge ends, and read the worker's status."""
         body = _RenewRequest(token, last_seen, deadline_ms, int(wait_s * 1000))
         timeout_s = wait_s + self.settings.call_timeout_s
@@ -233,8 +233,8 @@
 
 
 def _check_incarnation(
-    worker: Worker, start_time_ms: int | None, status: Account
-) -> Result[Account, StartedAgain | AnswerLost]:
+    worker: Worker, start_time_ms: int | None, status: WorkerStatus
+) -> Result[WorkerStatus, StartedAgain | AnswerLost]:
     """Return the status if the expected incarnation sent it; another one does not know its runs."""
     if worker_id(worker.name, start_time_ms) == worker.id:
         return Ok(status)
@@ -243,18 +243,18 @@
     return Error(StartedAgain())
 
 
-def _decode_status(content: bytes) -> tuple[int | None, Account]:
+def _decode_status(content: bytes) -> tuple[int | None, WorkerStatus]:
     """Return the start time of the incarnation that sent a worker status, and the status."""
     decoded = _STATUS_DECODER.decode(content)
     running = [_decode_running(entry) for entry in decoded.running]
     ended = [
-        TaskEnd(number, TaskName(task), run, RunEnd(how), checkpoint)
+        EndedRun(number, TaskName(task), run, RunEnd(how), checkpoint)
         for number, task, run, how, checkpoint in decoded.ended
     ]
-    return decode_start_time(decoded.born), Account(decoded.clock_ms, running, ended)
+    return decode_start_time(decoded.born), WorkerStatus(decoded.clock_ms, running, ended)
 
 
-def _decode_running(entry: list[str | int | float]) -> Running:
+def _decode_running(entry: list[str | int | float]) -> ActiveRun:
     task, run, checkpoint, percent = entry[:MIN_RUNNING_FIELDS]
-    figure = float(entry[MIN_RUNNING_FIELDS]) if len(entry) > MIN_RUNNING_FIELDS else 0.0
-    return Running(TaskName(str(task)), int(run), str(checkpoint), int(percent), figure)
+    measurement = float(entry[MIN_RUNNING_FIELDS]) if len(entry) > MIN_RUNNING_FIELDS else 0.0
+    return ActiveRun(TaskName(str(task)), int(run), str(checkpoint), int(percent), measurement)
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -23,7 +23,7 @@
     _worker_session,
     _worker_starts,
 )
-from pumicespur.model import ANYONE
+from pumicespur.model import ANONYMOUS_ACCOUNT
 from pumicespur.node import _table_follower
 from pumicespur.platform import _callers, _declarations, _orders, _table
 from pumicespur.store import Transaction
@@ -72,8 +72,8 @@
 
 async def _accept_whatever(self: _service.JobService, *arguments: Any) -> Any:
     outcome = await SUBMIT(self, *arguments)
-    unknown = outcome is _service.Submission.UNKNOWN
-    return _service.Submission.ACCEPTED if unknown else outcome
+    unknown = outcome is _service.SubmissionOutcome.UNKNOWN
+    return _service.SubmissionOutcome.ACCEPTED if unknown else outcome
 
 
 async def _forget_start(self: _worker_starts.WorkerStarts, task: Any, start: Any) -> None:
@@ -86,7 +86,9 @@
 
 
 def _check_at_hand_in(self: _callers.CallerServer, request: Any, *arguments: Any) -> Any:
-    return AUTHENTICATE(self, request, *arguments) if request.method == "POST" else ANYONE
+    return (
+        AUTHENTICATE(self, request, *arguments) if request.method == "POST" else ANONYMOUS_ACCOUNT
+    )
 
 
 def _log_key(self: _callers.CallerServer, request: Any, *arguments: Any) -> Any:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -11,7 +11,7 @@
 
 from pumicespur.jobs._access import is_visible_to
 from pumicespur.model import (
-    ANYONE,
+    ANONYMOUS_ACCOUNT,
     AccountId,
     Capacity,
     Configuration,
@@ -121,11 +121,11 @@
 
     def test_job_without_an_account_is_visible_to_all(self) -> None:
         self.assertTrue(self.is_visible("", "b"))
-        self.assertTrue(self.is_visible("", ANYONE))
+        self.assertTrue(self.is_visible("", ANONYMOUS_ACCOUNT))
 
     def test_public_route_shows_its_own_jobs_and_no_others(self) -> None:
-        self.assertTrue(self.is_visible("a", ANYONE))
-        self.assertFalse(self.is_visible("a", ANYONE, route="slow"))
+        self.assertTrue(self.is_visible("a", ANONYMOUS_ACCOUNT))
+        self.assertFalse(self.is_visible("a", ANONYMOUS_ACCOUNT, route="slow"))
 
 
 class RefusalsTest(unittest.TestCase):
--- a/tests/test_incarnations_model.py
+++ b/tests/test_incarnations_model.py
@@ -29,17 +29,17 @@
 from pumicespur.jobs._lease import EarlierLeases
 from pumicespur.jobs._pool import PoolState
 from pumicespur.model import (
-    Account,
+    ActiveRun,
     Configuration,
+    EndedRun,
     PoolSettings,
     RunEnd,
-    Running,
     StartedAgain,
     StartOrder,
-    TaskEnd,
     TaskName,
     Worker,
     WorkerName,
+    WorkerStatus,
     worker_id,
 )
 from pumicespur.schema.jobs_pb import JobPhase, ProgressRecord, StepRecord
@@ -99,7 +99,7 @@
     token: int = 0
     running: dict[TaskName, ModelRun] = field(default_factory=dict)
     refused: dict[TaskName, int] = field(default_factory=dict)
-    ended: dict[int, tuple[ModelRun, TaskEnd]] = field(default_factory=dict)
+    ended: dict[int, tuple[ModelRun, EndedRun]] = field(default_factory=dict)
     count: int = 0
 
     def clock_ms(self) -> float:
@@ -205,7 +205,7 @@
         incarnation.count += 1
         incarnation.ended[incarnation.count] = (
             run,
-            TaskEnd(incarnation.count, run.task, run.number, how, ""),
+            EndedRun(incarnation.count, run.task, run.number, how, ""),
         )
 
     async def stop(self, worker: Worker, token: int, task: TaskName, run: int) -> Result[None, Any]:
@@ -224,7 +224,7 @@
 
     async def hold(
         self, worker: Worker, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
-    ) -> Result[Account, Any]:
+    ) -> Result[WorkerStatus, Any]:
         """Apply acknowledgements and return the status."""
         incarnation = await self._deliver(worker)
         if not isinstance(incarnation, Incarnation):
@@ -235,8 +235,8 @@
             incarnation.ended.pop(number)[0].acknowledged = True
         if wait_s and not incarnation.ended:
             await anyio.sleep(0.005)
-        running = [Running(r.task, r.number, "", 100, 0.0) for r in incarnation.running.values()]
-        status = Account(
+        running = [ActiveRun(r.task, r.number, "", 100, 0.0) for r in incarnation.running.values()]
+        status = WorkerStatus(
             incarnation.clock_ms(), running, [end for _, end in incarnation.ended.values()]
         )
         await anyio.sleep(self.chance.uniform(0, DELIVERY_S))
@@ -248,7 +248,7 @@
             else self.reject(status)
         )
 
-    def reject(self, status: Account) -> Result[Account, Any]:
+    def reject(self, status: WorkerStatus) -> Result[WorkerStatus, Any]:
         """Return the error for a status of another incarnation than the addressed one."""
         return Error(StartedAgain())
 
@@ -256,7 +256,7 @@
 class StartTimesIgnored(ModelWorkers):
     """A mutant that accepts a status from any incarnation."""
 
-    def reject(self, status: Account) -> Result[Account, Any]:
+    def reject(self, status: WorkerStatus) -> Result[WorkerStatus, Any]:
         return Ok(status)
 
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -35,10 +35,11 @@
 from pumicespur.jobs._throttle import choose_speed_changes
 from pumicespur.jobs._worker_load import MIN_EJECT_FAILURES, WorkerLoad
 from pumicespur.model import (
-    ANYONE,
+    ANONYMOUS_ACCOUNT,
     Capacity,
     Configuration,
     DataHall,
+    EndedRun,
     InstanceId,
     JobId,
     PoolId,
@@ -46,7 +47,6 @@
     Route,
     RouteName,
     RunEnd,
-    TaskEnd,
     Worker,
     WorkerId,
     WorkerState,
@@ -110,9 +110,9 @@
     return placed
 
 
-def make_end(task: Task, how: RunEnd, number: int = 1, checkpoint: str = "") -> TaskEnd:
+def make_end(task: Task, how: RunEnd, number: int = 1, checkpoint: str = "") -> EndedRun:
     """Make the end of a task's newest run."""
-    return TaskEnd(number, task.name, task.run, how, checkpoint)
+    return EndedRun(number, task.name, task.run, how, checkpoint)
 
 
 def finish(pool: PoolState, task: Task, how: RunEnd = RunEnd.DONE, checkpoint: str = "") -> None:
@@ -195,7 +195,7 @@
 
     def test_expired_run_costs_no_attempt(self) -> None:
         for _ in range(5):
-            finish(self.pool, self.task, RunEnd.LAPSED)
+            finish(self.pool, self.task, RunEnd.EXPIRED)
             run_all(self.pool)
         self.assertIs(JobPhase.RUNNING, self.job.phase)
 
@@ -203,11 +203,11 @@
         worker = self.task.worker
         assert worker is not None
         old = make_end(self.task, RunEnd.FAILED)
-        finish(self.pool, self.task, RunEnd.LAPSED)
+        finish(self.pool, self.task, RunEnd.EXPIRED)
         run_all(self.pool)
         self.pool.note_end(worker, old, 0.0)
         self.assertIs(TaskState.RUNNING, self.task.state)
-        self.pool.note_end(worker, TaskEnd(3, self.task.name, 1, RunEnd.DONE, ""), 0.0)
+        self.pool.note_end(worker, EndedRun(3, self.task.name, 1, RunEnd.DONE, ""), 0.0)
         self.assertIs(JobPhase.COMPLETED, self.job.phase)
 
     def test_newer_run_elsewhere_stays_counted_until_its_worker_drops_it(self) -> None:
@@ -219,7 +219,7 @@
         self.task.mark_waiting()
         other = self.pool.add_worker(make_worker("other"))
         assign(self.task, other)
-        earlier = TaskEnd(1, self.task.name, 1, RunEnd.DONE, "")
+        earlier = EndedRun(1, self.task.name, 1, RunEnd.DONE, "")
         self.pool.note_end(first, earlier, 0.0)
         self.assertIs(TaskState.DONE, self.task.state)
         self.assertIn(self.task, other.tasks)
@@ -244,7 +244,7 @@
         first, second = run_all(pool)
         finish(pool, first, RunEnd.FAILED, "c")
         self.assertEqual([], run_all(pool))
-        finish(pool, second, RunEnd.BROKEN)
+        finish(pool, second, RunEnd.GANG_BROKEN)
         again = run_all(pool)
         self.assertEqual({(2, "c", 1)}, {(t.run, t.checkpoint, t.failures) for t in again})
         finish(pool, again[0])
@@ -645,7 +645,7 @@
     async def test_jobs_of_one_part_share_a_call(self) -> None:
         # Otherwise each ended job costs a call, and callers' submissions wait behind these calls.
         for number in range(1000):
-            self.cleanup.compact(JobId(f"job-{number}"), ROUTE.name, ANYONE)
+            self.cleanup.compact(JobId(f"job-{number}"), ROUTE.name, ANONYMOUS_ACCOUNT)
         await self.cleanup.clean_up()
         self.assertEqual(len(submission_partitions(PoolId("main"))), len(self.calls))
         parts = {write.key.rpartition("/")[0] for write in self.calls[0].writes}
@@ -653,7 +653,7 @@
         self.assertFalse(self.cleanup.pending)
 
     async def test_unconfirmed_writes_are_repeated(self) -> None:
-        self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
+        self.cleanup.compact(JobId("job"), ROUTE.name, ANONYMOUS_ACCOUNT)
         self.answers = Error(Unavailable("busy"))
         await self.cleanup.clean_up()
         self.assertTrue(self.cleanup.pending)
@@ -662,7 +662,7 @@
         self.assertFalse(self.cleanup.pending)
 
     async def test_removal_replaces_a_pending_emptying(self) -> None:
-        self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
+        self.cleanup.compact(JobId("job"), ROUTE.name, ANONYMOUS_ACCOUNT)
         self.cleanup.remove(JobId("job"))
         await self.cleanup.clean_up()
         self.assertEqual([None], [write.value for write in self.calls[0].writes])
@@ -670,7 +670,7 @@
     async def test_pending_removal_is_not_replaced(self) -> None:
         # An owner that reads all submissions again finds those whose removal is pending.
         self.cleanup.remove(JobId("job"))
-        self.cleanup.compact(JobId("job"), ROUTE.name, ANYONE)
+        self.cleanup.compact(JobId("job"), ROUTE.name, ANONYMOUS_ACCOUNT)
         await self.cleanup.clean_up()
         self.assertEqual(["job"], self.cleanup.take_removed())
 
--- a/tests/test_limit_model.py
+++ b/tests/test_limit_model.py
@@ -25,10 +25,10 @@
     AccountId,
     Capacity,
     ClientAccount,
+    EndedRun,
     JobId,
     PoolId,
     RunEnd,
-    TaskEnd,
     TaskName,
     Worker,
     WorkerId,
@@ -71,7 +71,7 @@
     worker: Worker
     token: int = 0
     runs: list[Run] = field(default_factory=list)
-    ended: list[TaskEnd] = field(default_factory=list)
+    ended: list[EndedRun] = field(default_factory=list)
     silent: bool = False
 
 
@@ -282,8 +282,8 @@
         """End a random run."""
         if worker.runs:
             run = worker.runs.pop(self.rng.randrange(len(worker.runs)))
-            how = self.rng.choice((RunEnd.DONE, RunEnd.FAILED, RunEnd.LAPSED))
-            worker.ended.append(TaskEnd(1, run.task, run.number, how, ""))
+            how = self.rng.choice((RunEnd.DONE, RunEnd.FAILED, RunEnd.EXPIRED))
+            worker.ended.append(EndedRun(1, run.task, run.number, how, ""))
 
     def submit(self, pool: PoolId, count: int, cpu: int) -> None:
         """Submit a job of a random account."""
--- a/tests/test_worker_capacity.py
+++ b/tests/test_worker_capacity.py
@@ -19,7 +19,7 @@
 from pumicespur.jobs._placement import assign
 from pumicespur.jobs._unconfirmed_starts import UnresolvedStart
 from pumicespur.jobs._worker_session import WorkerSession
-from pumicespur.model import Account, Capacity, Running, TaskName
+from pumicespur.model import ActiveRun, Capacity, TaskName, WorkerStatus
 from pumicespur.schema.jobs_pb import StepRecord
 from pumicespur.utils import monotonic
 from tests.base import quiet_loop
@@ -46,8 +46,8 @@
         smaller = replace(self.worker, capacity=Capacity(cpu, 8000))
         self.owner.pool.add_worker(smaller)
 
-    async def report_status(self, *runs: Running) -> None:
-        status = Account(monotonic() * 1000, list(runs), [])
+    async def report_status(self, *runs: ActiveRun) -> None:
+        status = WorkerStatus(monotonic() * 1000, list(runs), [])
         await self.session._apply_status(status, monotonic())
 
     async def test_start_is_withdrawn_when_the_capacity_shrank_meanwhile(self) -> None:
@@ -95,7 +95,7 @@
         self.assertEqual(500, self.session.load.cpu_millis)
 
     async def test_worker_with_an_unknown_run_gets_no_tasks_until_it_has_ended(self) -> None:
-        await self.report_status(Running(TaskName("f" * 16 + ".0.0.0"), 1, "", 5, 0.0))
+        await self.report_status(ActiveRun(TaskName("f" * 16 + ".0.0.0"), 1, "", 5, 0.0))
         self.assertEqual([], self.owner.pool.place(monotonic(), 0.0))
         await self.report_status()
         self.assertEqual(2, len(self.owner.pool.place(monotonic(), 0.0)))
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -15,13 +15,13 @@
 from pumicespur.jobs._unconfirmed_starts import UnresolvedStart
 from pumicespur.jobs._worker_session import WorkerSession
 from pumicespur.model import (
-    Account,
+    ActiveRun,
+    EndedRun,
     RunEnd,
-    Running,
     StartedAgain,
     StartOrder,
-    TaskEnd,
     WorkerName,
+    WorkerStatus,
     worker_id,
 )
 from pumicespur.schema.jobs_pb import StepRecord
@@ -41,13 +41,13 @@
 class ScriptedOrders:
     """A worker whose responses are set by the test."""
 
-    ends: list[TaskEnd] = field(default_factory=list)
-    ended_before_stop: TaskEnd | None = None
+    ends: list[EndedRun] = field(default_factory=list)
+    ended_before_stop: EndedRun | None = None
     """The end of a run that begins and ends before the first stop arrives."""
     stops: int = 0
     starts: int = 0
     orders: list[StartOrder] = field(default_factory=list)
-    running: list[Running] = field(default_factory=list)
+    running: list[ActiveRun] = field(default_factory=list)
     last_seen: list[int] = field(default_factory=list)
     """What each poll acknowledged."""
     deadlines: list[int | None] = field(default_factory=list)
@@ -62,13 +62,13 @@
 
     async def hold(
         self, worker: Any, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
-    ) -> Result[Account, Any]:
+    ) -> Result[WorkerStatus, Any]:
         """Return the worker's status or the next error."""
         self.last_seen.append(last_seen)
         self.deadlines.append(deadline_ms)
         if self.faults:
             return Error(self.faults.pop(0))
-        return Ok(Account(monotonic() * 1000, list(self.running), list(self.ends)))
+        return Ok(WorkerStatus(monotonic() * 1000, list(self.running), list(self.ends)))
 
     async def stop(self, *arguments: Any) -> Result[None, Any]:
         """Accept a stop; the run may have ended before."""
@@ -109,7 +109,7 @@
     def spawn(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
         """Do nothing: the tests check states only."""
 
-    def note_end(self, worker: WorkerId, end: TaskEnd, now: float) -> None:
+    def note_end(self, worker: WorkerId, end: EndedRun, now: float) -> None:
         """Process an end."""
         self.pool.note_end(worker, end, now)
 
@@ -149,7 +149,7 @@
 
     async def test_run_that_ended_before_the_stop_is_not_started_again(self) -> None:
         # The task was run a second time.
-        end = TaskEnd(1, self.name(), 1, RunEnd.DONE, "")
+        end = EndedRun(1, self.name(), 1, RunEnd.DONE, "")
         self.owner.orders.ended_before_stop = end
         await self.poll()
         self.assertIs(TaskState.STARTING, self.task.state)
@@ -189,7 +189,7 @@
         assign(self.task, self.session.load)
         self.task.mark_waiting()
         assign(self.task, self.session.load)
-        earlier = TaskEnd(1, self.task.name, 1, RunEnd.DONE, "")
+        earlier = EndedRun(1, self.task.name, 1, RunEnd.DONE, "")
         self.owner.pool.note_end(self.session.id, earlier, monotonic())
         await self.session.starts.order(self.task, 2)
         self.assertIs(TaskState.DONE, self.task.state)
@@ -225,7 +225,7 @@
         """Let the first of two tasks start and end."""
         await self.poll()
         await self.begin(self.first)
-        self.orders.ends = [TaskEnd(1, self.first.name, 1, RunEnd.DONE, "")]
+        self.orders.ends = [EndedRun(1, self.first.name, 1, RunEnd.DONE, "")]
         await self.poll()
 
     async def test_recorded_ends_are_acknowledged(self) -> None:
@@ -241,7 +241,7 @@
         self.session.note_recorded(1)
         await self.poll()
         self.assertEqual(0, self.orders.last_seen[-1])
-        self.orders.running = [Running(self.second.name, 1, "", 0, 0.0)]
+        self.orders.running = [ActiveRun(self.second.name, 1, "", 0, 0.0)]
         await self.poll()
         await self.poll()
         self.assertEqual(1, self.orders.last_seen[-1])
@@ -311,7 +311,7 @@
             assign(task, self.previous.load)
             await self.previous.starts.order(task, 1)
             if task is self.confirmed:
-                self.orders.running = [Running(task.name, 1, "", 0, 0.0)]
+                self.orders.running = [ActiveRun(task.name, 1, "", 0, 0.0)]
                 await self.previous._poll(monotonic())
         self.orders.running = []
         self.orders.faults = [StartedAgain()]
@@ -339,14 +339,14 @@
             WorkerLoss(self.previous.id, self.previous.load.instance, sole_suspect=True)
         ]
         self.next.starts.adopt(self.unconfirmed, monotonic())
-        self.orders.running = [Running(self.unconfirmed.name, 1, "", 0, 0.0)]
+        self.orders.running = [ActiveRun(self.unconfirmed.name, 1, "", 0, 0.0)]
         await self.poll()
         self.assertIs(TaskState.RUNNING, self.unconfirmed.state)
         self.assertEqual((0, []), (self.orders.stops, self.unconfirmed.losses))
 
     async def test_ends_of_the_next_incarnation_count_from_one(self) -> None:
         self.next.starts.adopt(self.unconfirmed, monotonic())
-        self.orders.ends = [TaskEnd(1, self.unconfirmed.name, 1, RunEnd.DONE, "")]
+        self.orders.ends = [EndedRun(1, self.unconfirmed.name, 1, RunEnd.DONE, "")]
         await self.poll()
         self.assertEqual(0, self.orders.last_seen[-1])
         self.assertIs(TaskState.DONE, self.unconfirmed.state)
