--- a/pumicespur/connect/_client.py
+++ b/pumicespur/connect/_client.py
@@ -46,7 +46,7 @@
         """Close all connections."""
         await self._transport.aclose()
 
-    def silent_s(self) -> float:
+    def last_response_age_s(self) -> float:
         """Return the time since the platform's last response, in seconds."""
         return monotonic() - self.last_response_at
 
--- a/pumicespur/jobs/_advice_client.py
+++ b/pumicespur/jobs/_advice_client.py
@@ -61,7 +61,7 @@
     async def _request_tickets(self, group: StepGroup) -> bool:
         requested_at = monotonic()
         workers = self._candidates(group)
-        response = await self.orders.advise(group.name, workers)
+        response = await self.orders.request_tickets(group.name, workers)
         match response:
             case Result(tag="ok", ok=(tickets, valid_s)):
                 # Validity counts from the request, so that no ticket is used after it expires.
--- a/pumicespur/jobs/_allotment_exchange.py
+++ b/pumicespur/jobs/_allotment_exchange.py
@@ -21,7 +21,7 @@
     from pumicespur.jobs._limits import PoolLimits
     from pumicespur.platform import PlatformTable
     from pumicespur.schema.jobs_pb import PartReport
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -40,7 +40,7 @@
         self,
         limits: PoolLimits,
         table: PlatformTable,
-        view: NodeView,
+        view: FleetView,
         request_report: Callable[[], None],
     ) -> None:
         self.limits = limits
--- a/pumicespur/jobs/_known_state.py
+++ b/pumicespur/jobs/_known_state.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from pumicespur.store import Reading
+from pumicespur.store import TableProgress
 
 if TYPE_CHECKING:
     from pumicespur.schema.node_pb import WorkerSettings
@@ -39,9 +39,9 @@
 class KnownState:
     """Versions and ages of the tables that an owner's orders depend on."""
 
-    workers: Reading = field(default_factory=Reading)
+    workers: TableProgress = field(default_factory=TableProgress)
     """The workers, whether they leave, their capacity and labels."""
-    submissions: Reading = field(default_factory=Reading)
+    submissions: TableProgress = field(default_factory=TableProgress)
     """The jobs of the pool and their cancellations."""
     configuration: int = -1
     """Version of the configuration in force here."""
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -39,7 +39,7 @@
     from pumicespur.model import EndedRun, Worker
     from pumicespur.platform import PlatformTable, WorkerOrders
     from pumicespur.schema.jobs_pb import PartRecord, PoolReport
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -88,7 +88,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        view: NodeView,
+        view: FleetView,
         table: PlatformTable,
         orders: WorkerOrders,
         ownership: Ownership,
@@ -141,8 +141,8 @@
     def known_state(self) -> KnownState:
         """Return the current versions and ages of the tables that orders depend on."""
         return KnownState(
-            workers=self.view.workers_reading,
-            submissions=self.submissions.reading,
+            workers=self.view.workers_progress,
+            submissions=self.submissions.progress,
             configuration=self.view.configuration.version,
         )
 
@@ -197,7 +197,7 @@
             token=self.token,
             jobs=len(self.pool.jobs),
             ended=len(self.submissions.ended),
-            submissions_version=self.submissions.reading.version,
+            submissions_version=self.submissions.progress.version,
         )
 
     def sync_workers(self) -> None:
@@ -364,14 +364,14 @@
         limits.set_accounts(self.view.configuration.accounts)
         settings = self.settings
         allowed_s = settings.process.configuration_ms / 1000 - start_timeout_s(settings.workers)
-        stale = self.view.outdated_s(now) > allowed_s
+        stale = self.view.configuration_behind_s(now) > allowed_s
         if stale != limits.stale:
             limits.stale = stale
             log.warning(
                 "limits out of date" if stale else "limits up to date",
                 pool=self.pool.pool,
                 configuration=self.view.configuration.version,
-                newest=self.view.newest_heard(),
+                newest=self.view.newest_known_version(),
             )
 
     def _may_start(self, now: float) -> bool:
--- a/pumicespur/jobs/_service.py
+++ b/pumicespur/jobs/_service.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs: submit, state and cancel."""
+"""Callers' requests about jobs: submit, phase and cancel."""
 
 from __future__ import annotations
 
@@ -98,8 +98,8 @@
         )
         return outcome
 
-    async def state(
-        self, route: Route, caller: AccountId, job: JobId, give_up_at: float
+    async def phase(
+        self, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> Result[JobPhase | None, Fault]:
         """Read a job's phase; None if the caller has no such job."""
         with anyio.CancelScope(deadline=give_up_at):
@@ -107,7 +107,7 @@
             return found.map(
                 lambda known: (
                     None
-                    if known is None or not is_visible_to(caller, route, known[1])
+                    if known is None or not is_visible_to(account, route, known[1])
                     else known[1].phase
                 )
             )
@@ -153,38 +153,38 @@
         return Ok(None)
 
     async def cancel(
-        self, route: Route, caller: AccountId, job: JobId, give_up_at: float
+        self, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> CancellationOutcome:
         """Record that a job is cancelled; the pool's owner stops it."""
         with anyio.CancelScope(deadline=give_up_at):
-            return await self._cancel(route, caller, job, give_up_at)
+            return await self._cancel(route, account, job, give_up_at)
         return CancellationOutcome.UNKNOWN
 
     async def _cancel(
-        self, route: Route, caller: AccountId, job: JobId, give_up_at: float
+        self, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> CancellationOutcome:
         for pool in (route.pool, *self.other_pools(route, False)):
-            outcome = await self._cancel_in(pool, route, caller, job, give_up_at)
+            outcome = await self._cancel_in(pool, route, account, job, give_up_at)
             if outcome is not CancellationOutcome.NO_SUCH_JOB:
                 return outcome
         return CancellationOutcome.NO_SUCH_JOB
 
     async def _cancel_in(
-        self, pool: PoolId, route: Route, caller: AccountId, job: JobId, give_up_at: float
+        self, pool: PoolId, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> CancellationOutcome:
         key = submission_key(pool, job)
         while True:
             found = await self._read(key, give_up_at)
             match found:
                 case Result(tag="ok", ok=row) if row.version and not _has_ended(row):
-                    if not is_visible_to(caller, route, JobRecord.from_binary(row.value)):
+                    if not is_visible_to(account, route, JobRecord.from_binary(row.value)):
                         return CancellationOutcome.NO_SUCH_JOB
                     response = await self._write_cancellation(row)
                     if response.is_ok():
                         log.info("job cancelled", job=job, route=route.name, version=response.ok)
                         return CancellationOutcome.DONE
                 case Result(tag="ok"):
-                    return await self._cancel_missing(pool, route, caller, job, give_up_at)
+                    return await self._cancel_missing(pool, route, account, job, give_up_at)
             if monotonic() + MAX_RETRY_DELAY_S >= give_up_at:
                 return CancellationOutcome.UNKNOWN
             await anyio.sleep(RETRY_DELAY_S * random.uniform(0.5, 1.0))
@@ -199,14 +199,14 @@
         )
 
     async def _cancel_missing(
-        self, pool: PoolId, route: Route, caller: AccountId, job: JobId, give_up_at: float
+        self, pool: PoolId, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> CancellationOutcome:
         """Determine the outcome for a job that has no unfinished submission row."""
         found = await self._read(progress_key(pool, job), give_up_at)
         match found:
             case Result(tag="ok", ok=row) if row.version:
                 progress = ProgressRecord.from_binary(row.value)
-                if not is_visible_to(caller, route, progress):
+                if not is_visible_to(account, route, progress):
                     return CancellationOutcome.NO_SUCH_JOB
                 if progress.phase is JobPhase.CANCELLED:
                     return CancellationOutcome.DONE
@@ -234,8 +234,8 @@
     route: Route, record: JobRecord, *known: JobRecord | ProgressRecord
 ) -> SubmissionOutcome:
     """Return the outcome for an id that is recorded already: accepted if it is the caller's."""
-    caller = AccountId(record.account)
-    if not all(is_visible_to(caller, route, job) for job in known):
+    account = AccountId(record.account)
+    if not all(is_visible_to(account, route, job) for job in known):
         log.warning("job refused", job=record.id, route=route.name, reason="id of another account")
         return SubmissionOutcome.OTHER_ACCOUNT
     log.info("job accepted", job=record.id, route=route.name, repeat=True)
--- a/pumicespur/jobs/_submission_cleanup.py
+++ b/pumicespur/jobs/_submission_cleanup.py
@@ -71,7 +71,7 @@
         """Clean up periodically until cancelled."""
         while True:
             await anyio.sleep(CLEANUP_INTERVAL_S)
-            if self.table.times.worst_s(monotonic()) < MAX_RESPONSE_TIME_S:
+            if self.table.response_times.max_recent_s(monotonic()) < MAX_RESPONSE_TIME_S:
                 await self.clean_up()
 
     async def clean_up(self) -> None:
--- a/pumicespur/jobs/_submission_follower.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -15,7 +15,7 @@
 from pumicespur.jobs._submission_cleanup import SubmissionCleanup
 from pumicespur.model import AccountId, JobId, RouteName
 from pumicespur.schema.jobs_pb import JobRecord, ProgressRecord
-from pumicespur.store import AnswerLost, HistoryGone, Page, Reading, Row
+from pumicespur.store import AnswerLost, HistoryGone, Page, Row, TableProgress
 from pumicespur.utils import monotonic
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     from pumicespur.jobs._job import Job
     from pumicespur.jobs._pool import PoolState
     from pumicespur.platform import PlatformTable
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -45,7 +45,7 @@
         self,
         pool: PoolState,
         table: PlatformTable,
-        view: NodeView,
+        view: FleetView,
         settings: NodeSettings,
         wake: Callable[[], None],
         note_arrival: Callable[[Job], None],
@@ -63,7 +63,7 @@
         self.ended: dict[JobId, int] = {}
         """Ended jobs with the time of their end, in milliseconds since 1970."""
         self.cleanup = SubmissionCleanup(pool.pool, table)
-        self.reading = Reading()
+        self.progress = TableProgress()
         """Version and age of the known submissions."""
 
     async def load(self) -> None:
@@ -96,7 +96,7 @@
         async with anyio.create_task_group() as readers:
             for partition in submission_partitions(pool):
                 readers.start_soon(read, partition)
-        self.reading = Reading(min(page.version for page in pages), asked_at)
+        self.progress = TableProgress(min(page.version for page in pages), asked_at)
         return [row for page in pages for row in page.rows]
 
     async def _retry(self, call: Callable[[], Awaitable[Result[Any, Any]]]) -> Any:
@@ -147,19 +147,19 @@
         while True:
             asked_at = monotonic()
             max_timeout_s = max(0.0, self.max_age_s - self.watch_s)
-            timeout_s = min(self.table.times.patience_s(asked_at), max_timeout_s)
+            timeout_s = min(self.table.response_times.fallback_timeout_s(asked_at), max_timeout_s)
             response = await self.table.changes(
-                table, self.reading.version, self.watch_s, timeout_s
+                table, self.progress.version, self.watch_s, timeout_s
             )
             match response:
                 case Result(tag="ok", ok=page):
-                    current_as_of = asked_at if page.complete else self.reading.asked_at
-                    self.reading = Reading(page.version, current_as_of)
+                    current_as_of = asked_at if page.complete else self.progress.asked_at
+                    self.progress = TableProgress(page.version, current_as_of)
                     rows = page.rows
                 case Result(error=HistoryGone()):
                     log.warning("submissions read in full", pool=pool, reason="history gone")
                     rows = await self._read_all()
-                case Result(error=AnswerLost()) if self.table.answers():
+                case Result(error=AnswerLost()) if self.table.is_responding():
                     log.info(
                         "submissions read in full",
                         pool=pool,
--- a/pumicespur/jobs/_worker_session.py
+++ b/pumicespur/jobs/_worker_session.py
@@ -142,7 +142,7 @@
         silent = self.failures > 0
         deadline = None if silent else self.lease.grant(now, settings.lease_s)
         last_seen = 0 if silent else self._end_to_acknowledge()
-        response = await self.owner.orders.hold(
+        response = await self.owner.orders.renew_leases(
             self.load.worker, self.owner.token, last_seen, deadline, wait_s
         )
         match response:
@@ -262,7 +262,7 @@
     async def throttle(self, task: Task, percent: int) -> None:
         """Limit a best-effort task to a percentage of its speed."""
         run = task.run
-        response = await self.owner.orders.pace(
+        response = await self.owner.orders.throttle(
             self.load.worker, self.owner.token, task.name, run, percent
         )
         accepted = response.is_ok()
--- a/pumicespur/maintenance/_fleet_leader.py
+++ b/pumicespur/maintenance/_fleet_leader.py
@@ -40,7 +40,7 @@
     from pumicespur.config import NodeSettings
     from pumicespur.jobs import Ownership
     from pumicespur.platform import FleetOrders, PlatformTable
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -66,7 +66,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        view: NodeView,
+        view: FleetView,
         table: PlatformTable,
         orders: FleetOrders,
         ownership: Ownership,
--- a/pumicespur/maintenance/_reports.py
+++ b/pumicespur/maintenance/_reports.py
@@ -11,7 +11,7 @@
 
     from pumicespur.model import Instance, InstanceId, PoolId
     from pumicespur.schema.jobs_pb import PoolReport, WorkerReport
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 MAX_REPORT_AGE_S = 3.0
 """Max age of an owner's report by which a worker counts as empty."""
@@ -23,7 +23,7 @@
 class FleetReports:
     """Newest reports of the owners, and when each instance's worker last responded."""
 
-    def __init__(self, view: NodeView) -> None:
+    def __init__(self, view: FleetView) -> None:
         self.view = view
         self.reached_at: dict[InstanceId, float] = {}
         """When a worker on each instance last responded (monotonic seconds)."""
--- a/pumicespur/maintenance/_wave_execution.py
+++ b/pumicespur/maintenance/_wave_execution.py
@@ -25,7 +25,7 @@
     from pumicespur.maintenance._reports import FleetReports
     from pumicespur.model import Instance
     from pumicespur.platform import FleetOrders, PlatformTable
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -43,7 +43,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        view: NodeView,
+        view: FleetView,
         table: PlatformTable,
         orders: FleetOrders,
         journal: Journal,
--- a/pumicespur/node/_heartbeats.py
+++ b/pumicespur/node/_heartbeats.py
@@ -29,7 +29,7 @@
     from pumicespur.model import PoolId
     from pumicespur.node._owned_roles import OwnedRoles
     from pumicespur.platform import PlatformTable
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -51,7 +51,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        view: NodeView,
+        view: FleetView,
         table: PlatformTable,
         roles: OwnedRoles,
         incarnation: str,
@@ -125,7 +125,7 @@
         if self.failing:
             self.failing = False
             log.info("store answers again")
-            self.table.renew_readings()
+            self.table.renew_pending_reads()
 
     def presence_timeout_s(self) -> float:
         """Return the time after which a process that owns nothing counts as gone, in seconds."""
--- a/pumicespur/node/_ownership_controller.py
+++ b/pumicespur/node/_ownership_controller.py
@@ -31,7 +31,7 @@
 
     from pumicespur.config import NodeSettings
     from pumicespur.platform import FleetOrders, PlatformTable, WorkerOrders
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -53,7 +53,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        view: NodeView,
+        view: FleetView,
         table: PlatformTable,
         orders: WorkerOrders,
         fleet_orders: FleetOrders,
@@ -80,7 +80,7 @@
             self.request_check,
         )
         self.takeover_policy = TakeoverPolicy(
-            settings, view, table.times, self.heartbeats.presence_timeout_s()
+            settings, view, table.response_times, self.heartbeats.presence_timeout_s()
         )
         self.check_requested = anyio.Event()
         self.owning = anyio.Event()
--- a/pumicespur/node/_predecessors.py
+++ b/pumicespur/node/_predecessors.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from pumicespur.config import NodeSettings
     from pumicespur.store import StoreClock
-    from pumicespur.view import NodeView, SeenOwner, SeenProcess
+    from pumicespur.view import FleetView, SeenOwner, SeenProcess
 
 EXPIRY_SLACK_S = 0.5
 """Margin on the longest lease of a previous owner, for late timers and a stop under way."""
@@ -26,7 +26,7 @@
 class Predecessors:
     """The previous owners of the pools that this process took over."""
 
-    def __init__(self, settings: NodeSettings, view: NodeView, clock: StoreClock) -> None:
+    def __init__(self, settings: NodeSettings, view: FleetView, clock: StoreClock) -> None:
         self.settings = settings
         self.view = view
         self.clock = clock
--- a/pumicespur/node/_process.py
+++ b/pumicespur/node/_process.py
@@ -36,14 +36,14 @@
     WAVE_PREFIX,
     CallerServer,
     FleetOrders,
-    HttpCaller,
+    HttpClient,
     PlatformTable,
     WorkerOrders,
     decode_configuration,
     decode_wave,
 )
 from pumicespur.utils import METRICS, monotonic
-from pumicespur.view import NodeView
+from pumicespur.view import FleetView
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -104,7 +104,7 @@
     def __init__(self, settings: NodeSettings, path: Path) -> None:
         self.settings = settings
         self.settings_file = SettingsFile(path, settings)
-        self.view = NodeView()
+        self.view = FleetView()
         self.incarnation = uuid.uuid4().hex
         self.operator_row_versions: dict[str, int] = {}
         """Known versions of the operators' rows, by key."""
@@ -119,9 +119,9 @@
     async def run(self) -> None:
         """Serve until a signal requests a stop, then stop without losing anything."""
         settings = self.settings
-        self.store_client = HttpCaller(STORE_CONNECTIONS)
-        self.order_client = HttpCaller(ORDER_CONNECTIONS)
-        self.watch_client = HttpCaller(WATCH_CONNECTIONS)
+        self.store_client = HttpClient(STORE_CONNECTIONS)
+        self.order_client = HttpClient(ORDER_CONNECTIONS)
+        self.watch_client = HttpClient(WATCH_CONNECTIONS)
         self.table = PlatformTable(settings.store, self.store_client)
         self.jobs = JobService(self.table, self.view.other_pools)
         self.orders = WorkerOrders(settings.workers, self.order_client, self.watch_client)
@@ -195,7 +195,7 @@
         while True:
             self._report_store_use()
             METRICS.configuration.set({"which": "in force"}, self.view.configuration.version)
-            METRICS.configuration.set({"which": "newest heard"}, self.view.newest_heard())
+            METRICS.configuration.set({"which": "newest heard"}, self.view.newest_known_version())
             METRICS.forget_accounts()
             for owner in self.controller.roles.pool_owners():
                 METRICS.owned.set({"pool": owner.pool.pool}, len(owner.pool.jobs))
@@ -203,7 +203,7 @@
             await anyio.sleep(GAUGE_INTERVAL_S)
 
     def _report_store_use(self) -> None:
-        for table, used in self.table.use.describe().items():
+        for table, used in self.table.usage.describe().items():
             METRICS.store_calls.set({"table": table}, used["calls"])
             for direction in ("sent", "received"):
                 labels = {"table": table, "direction": direction}
@@ -211,7 +211,7 @@
         now = monotonic()
         if now - self.use_logged_at >= STORE_USE_LOG_INTERVAL_S:
             self.use_logged_at = now
-            log.info("store used", **self.table.use.describe())
+            log.info("store used", **self.table.usage.describe())
 
     def describe(self) -> dict[str, object]:
         """Return the process's state."""
@@ -219,7 +219,7 @@
         return {
             "incarnation": self.incarnation,
             "configuration_version": view.configuration.version,
-            "store_use": self.table.use.describe(),
+            "store_use": self.table.usage.describe(),
             "workers": len(view.workers),
             "processes": sorted(view.processes),
             "owners": {pool: owner.record.process for pool, owner in view.owners.items()},
@@ -289,30 +289,30 @@
 
     def is_ready(self) -> bool:
         """Return whether this process can serve callers well."""
-        reachable = monotonic() - self.table.answered_at < NOT_READY_AFTER_S
+        reachable = monotonic() - self.table.last_success_at < NOT_READY_AFTER_S
         if self.stopping or self.current_configuration() is None:
             return False
-        return reachable and not self.configuration_outdated()
+        return reachable and not self.is_configuration_outdated()
 
-    def configuration_outdated(self) -> bool:
+    def is_configuration_outdated(self) -> bool:
         """Return whether the configuration in force may be too old to serve callers by.
 
         Other processes may serve a route that is unknown here, or may have dropped a known one.
         """
         now = monotonic()
-        behind_s = max(self.view.outdated_s(now), self.operators.failing_s(now))
+        behind_s = max(self.view.configuration_behind_s(now), self.operators.failing_s(now))
         outdated = behind_s > self.settings.process.configuration_ms / 1000 * OUTDATED_RATIO
         if outdated != self.outdated:
             self.outdated = outdated
             log.warning(
                 "configuration out of date" if outdated else "configuration up to date",
                 version=self.view.configuration.version,
-                newest=self.view.newest_heard(),
+                newest=self.view.newest_known_version(),
                 behind_s=round(behind_s, 3),
             )
         return outdated
 
-    def newer_configuration_known(self) -> bool:
+    def is_newer_configuration_known(self) -> bool:
         """Return whether other processes have a newer configuration in force."""
         return bool(self.view.newer_versions)
 
@@ -321,9 +321,9 @@
         self.refusals.note(job, digest, version)
         METRICS.refused_keys.inc({"why": "no key" if digest is None else "unknown key"})
 
-    def store_answers(self) -> bool:
+    def is_store_responding(self) -> bool:
         """Return whether the store responded recently, or no call has failed since it did."""
-        return self.table.silent_s(monotonic()) < REFUSE_AFTER_S
+        return self.table.failing_for_s(monotonic()) < REFUSE_AFTER_S
 
     def is_stopping(self) -> bool:
         """Return whether connections are to be closed after their response."""
--- a/pumicespur/node/_process_tracker.py
+++ b/pumicespur/node/_process_tracker.py
@@ -33,7 +33,7 @@
     from pumicespur.node._predecessors import Predecessors
     from pumicespur.platform import PlatformTable
     from pumicespur.store import Fault, Row, StoreClock
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -68,7 +68,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        view: NodeView,
+        view: FleetView,
         table: PlatformTable,
         roles: OwnedRoles,
         heartbeats: HeartbeatWriter,
@@ -168,7 +168,10 @@
         response in the middle, made all owners look silent for longer than the failure timeout.
         """
         usual_s = self._poll_interval_s() + self._wait_s() + POLL_SLACK_S
-        return now - self.heartbeats_received_at <= usual_s + self.table.times.patience_s(now)
+        return (
+            now - self.heartbeats_received_at
+            <= usual_s + self.table.response_times.fallback_timeout_s(now)
+        )
 
     def apply_heartbeats(self, rows: Sequence[Row], whole: bool) -> None:
         """Apply the heartbeats of one response; the pause between polls batches many of them."""
@@ -206,7 +209,7 @@
             return
         self.renewed_version, self.renewed_at = newest, now
         log.info("configuration behind", newest=newest)
-        self.table.renew_readings()
+        self.table.renew_pending_reads()
 
     async def read_presence(self) -> None:
         """Read the heartbeats of processes that own nothing, as candidates for a takeover."""
--- a/pumicespur/node/_refusals.py
+++ b/pumicespur/node/_refusals.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from pumicespur.model import JobId, KeyDigest
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 MAX_REFUSALS = 2_000
 """Refused calls that are remembered: some minutes of a caller that makes ten attempts a second."""
@@ -37,7 +37,7 @@
         while len(self.newest) > MAX_REFUSALS:
             self.newest.popitem(last=False)
 
-    def describe(self, job: JobId, view: NodeView) -> dict[str, object] | None:
+    def describe(self, job: JobId, view: FleetView) -> dict[str, object] | None:
         """Describe why the newest call for an id was refused here; None if none was."""
         refusal = self.newest.get(job)
         if refusal is None:
@@ -50,7 +50,7 @@
         }
 
 
-def _reason(refusal: KeyRefusal, view: NodeView) -> str:
+def _reason(refusal: KeyRefusal, view: FleetView) -> str:
     if refusal.digest is None:
         return "no key was shown"
     revoked_by = view.revoked_keys.get(refusal.digest)
--- a/pumicespur/node/_table_follower.py
+++ b/pumicespur/node/_table_follower.py
@@ -10,7 +10,7 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.store import AnswerLost, HistoryGone, Reading
+from pumicespur.store import AnswerLost, HistoryGone, TableProgress
 from pumicespur.utils import monotonic
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
         """When reads began to fail (monotonic seconds); None while the table is followed."""
         self.expedited = anyio.Event()
         self.responded_at = monotonic()
-        self.reading = Reading()
+        self.progress = TableProgress()
         """The version up to which the table is known."""
         self.newest_row = 0
         """Version of the newest row that was read."""
@@ -124,7 +124,7 @@
                 case Result(error=HistoryGone()):
                     log.warning("table read anew", table=self.name, reason="history gone")
                     version = None
-                case Result(error=AnswerLost()) if self.fallback and self.table.answers():
+                case Result(error=AnswerLost()) if self.fallback and self.table.is_responding():
                     await self._read_fallback(self.fallback)
                 case Result(error=fault):
                     self._note_connected(False, str(fault))
@@ -144,7 +144,7 @@
         if self.fallback is None:
             return await self.table.changes(self.name, version, self.wait_s)
         useful_s = max(0.0, self._max_age_s() - self.wait_s - self.pause_s())
-        timeout_s = min(self.table.times.patience_s(monotonic()), useful_s)
+        timeout_s = min(self.table.response_times.fallback_timeout_s(monotonic()), useful_s)
         return await self.table.changes(self.name, version, self.wait_s, timeout_s)
 
     async def _read_fallback(self, fallback: FallbackRead) -> None:
@@ -169,13 +169,13 @@
 
     def _is_refresh_due(self) -> bool:
         """Return whether the known rows have reached half of their maximum age."""
-        return self.reading.age_s(monotonic()) > self._max_age_s() / 2
+        return self.progress.age_s(monotonic()) > self._max_age_s() / 2
 
     def _note_reading(self, page: Page, asked_at: float, whole: bool) -> None:
         """Note the version known; a truncated response proves nothing newer."""
         proves_nothing = not page.rows and not whole and self._max_age_s() < math.inf
         if page.complete and not proves_nothing:
-            self.reading = Reading(page.version, asked_at)
+            self.progress = TableProgress(page.version, asked_at)
 
     def _should_rescan(self, page: Page) -> bool:
         """Return whether to scan the table at once, which is repeated until nothing is new."""
--- a/pumicespur/node/_takeover_policy.py
+++ b/pumicespur/node/_takeover_policy.py
@@ -9,8 +9,8 @@
 
 if TYPE_CHECKING:
     from pumicespur.config import NodeSettings
-    from pumicespur.store import AnswerTimes
-    from pumicespur.view import NodeView, SeenOwner, SeenProcess
+    from pumicespur.store import ResponseTimes
+    from pumicespur.view import FleetView, SeenOwner, SeenProcess
 
 SLOW_RESPONSE_FACTOR = 3.0
 """How many times the slowest recent store response extends the failure timeout: a heartbeat is
@@ -29,11 +29,15 @@
     """Failure detection for owners, and the ranking of candidates to replace them."""
 
     def __init__(
-        self, settings: NodeSettings, view: NodeView, times: AnswerTimes, presence_timeout_s: float
+        self,
+        settings: NodeSettings,
+        view: FleetView,
+        response_times: ResponseTimes,
+        presence_timeout_s: float,
     ) -> None:
         self.settings = settings
         self.view = view
-        self.times = times
+        self.response_times = response_times
         self.presence_timeout_s = presence_timeout_s
         """Time without a heartbeat after which a process that owns nothing counts as gone."""
         self.me = ProcessId(settings.process.id)
@@ -76,7 +80,9 @@
 
     def _failure_timeout_s(self, now: float) -> float:
         """Return the time without a heartbeat after which an owner counts as gone."""
-        slow_s = min(MAX_SLOW_RESPONSE_DELAY_S, SLOW_RESPONSE_FACTOR * self.times.worst_s(now))
+        slow_s = min(
+            MAX_SLOW_RESPONSE_DELAY_S, SLOW_RESPONSE_FACTOR * self.response_times.max_recent_s(now)
+        )
         return self.settings.store.missing_s + slow_s
 
     def note_owned(self, pool: PoolId) -> None:
--- a/pumicespur/node/_workers.py
+++ b/pumicespur/node/_workers.py
@@ -12,7 +12,7 @@
 from pumicespur.model import WorkerName, start_time_ms
 from pumicespur.node._table_follower import FallbackRead, RescanPolicy, TableFollower
 from pumicespur.platform import WORKERS_TABLE, decode_worker
-from pumicespur.store import Reading
+from pumicespur.store import TableProgress
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -22,7 +22,7 @@
     from pumicespur.node._ownership_controller import OwnershipController
     from pumicespur.platform import PlatformTable
     from pumicespur.store import Row
-    from pumicespur.view import NodeView
+    from pumicespur.view import FleetView
 
 log = Logger(__name__)
 
@@ -52,7 +52,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        view: NodeView,
+        view: FleetView,
         table: PlatformTable,
         controller: OwnershipController,
     ) -> None:
@@ -102,7 +102,7 @@
         await self.follower.run_while(self.controller.roles.pool_owners, OWNERSHIP_CHECK_INTERVAL_S)
         self.view.workers_known = False
         self.view.workers = {}
-        self.view.workers_reading = Reading()
+        self.view.workers_progress = TableProgress()
         self.follower = None
         self.entries.clear()
         self.versions.clear()
@@ -119,7 +119,7 @@
         self.view.workers = usable_workers(self.entries)
         self.view.workers_known = True
         if self.follower is not None:
-            self.view.workers_reading = self.follower.reading
+            self.view.workers_progress = self.follower.progress
         self.controller.sync_workers()
 
     def _apply_entry(self, name: WorkerName, row: Row) -> None:
--- a/pumicespur/operators/_service.py
+++ b/pumicespur/operators/_service.py
@@ -105,12 +105,12 @@
         """Return the state as this process knows it."""
         await self.planner.observe()
         fleet = self.replica.fleet
-        silent_s = min(self.replica.store.platform.silent_s(), 2**31)
+        last_response_age_s = min(self.replica.store.platform.last_response_age_s(), 2**31)
         return StatusResponse(
             revision=fleet.revision,
             process=self.process,
             planner=self.planner.lease.holder,
-            store_seen_ms_ago=int(silent_s * 1000),
+            store_seen_ms_ago=int(last_response_age_s * 1000),
             pools=measure_pools(fleet, self.planner.listing.instances),
             waves=list(fleet.progress.values()),
             members=list(self.peers.members.members.values()),
--- a/pumicespur/peers/_links.py
+++ b/pumicespur/peers/_links.py
@@ -150,7 +150,7 @@
         members = self.members.members
         chosen = choose_links(self.members.own_member.id, members)
         addresses = {members[name].peer_address for name in chosen}
-        if self.members.platform.silent_s() > SEED_PEERS_DELAY_S:
+        if self.members.platform.last_response_age_s() > SEED_PEERS_DELAY_S:
             addresses |= set(self.settings.peers) - {self.address}
         return addresses
 
--- a/pumicespur/platform/__init__.py
+++ b/pumicespur/platform/__init__.py
@@ -19,7 +19,7 @@
     wave_state_key,
 )
 from pumicespur.platform._fleet import FleetOrders
-from pumicespur.platform._http import HttpCaller
+from pumicespur.platform._http import HttpClient
 from pumicespur.platform._orders import WorkerOrders
 from pumicespur.platform._table import PlatformTable
 
@@ -30,7 +30,7 @@
     "WORKERS_TABLE",
     "CallerServer",
     "FleetOrders",
-    "HttpCaller",
+    "HttpClient",
     "PlatformTable",
     "WorkerOrders",
     "decode_configuration",
--- a/pumicespur/platform/_callers.py
+++ b/pumicespur/platform/_callers.py
@@ -93,13 +93,13 @@
     async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> SubmissionOutcome:
         """Record a job."""
 
-    async def state(
-        self, route: Route, caller: AccountId, job: JobId, give_up_at: float
+    async def phase(
+        self, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> Result[JobPhase | None, Fault]:
         """Return the phase of a job, or None if the caller has no such job."""
 
     async def cancel(
-        self, route: Route, caller: AccountId, job: JobId, give_up_at: float
+        self, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> CancellationOutcome:
         """Record the cancellation of a job."""
 
@@ -117,16 +117,16 @@
     def is_ready(self) -> bool:
         """Return whether the process is ready for callers."""
 
-    def configuration_outdated(self) -> bool:
+    def is_configuration_outdated(self) -> bool:
         """Return whether the configuration in force is too old to serve callers by."""
 
-    def newer_configuration_known(self) -> bool:
+    def is_newer_configuration_known(self) -> bool:
         """Return whether others have put a configuration in force that has not arrived here yet."""
 
     def note_refused(self, job: JobId, digest: KeyDigest | None, version: int) -> None:
         """Note a call refused for its key, and the version of the configuration that decided it."""
 
-    def store_answers(self) -> bool:
+    def is_store_responding(self) -> bool:
         """Return whether the store responded lately; without it no job can be accepted or read."""
 
     def is_stopping(self) -> bool:
@@ -182,7 +182,7 @@
         configuration = self.context.current_configuration()
         if configuration is None:
             return _error_response(503, "no configuration yet")
-        if self.context.configuration_outdated():
+        if self.context.is_configuration_outdated():
             # A route that is unknown here may exist in a newer configuration, but a 404 would tell
             # the caller not to retry.
             return _error_response(503, "the configuration here is out of date; nothing was done")
@@ -195,13 +195,13 @@
             return _error_response(404, "no such job")
         caller = self._authenticate(request, route, configuration, JobId(name))
         if caller is None:
-            if self.context.newer_configuration_known():
+            if self.context.is_newer_configuration_known():
                 # The newer configuration may add this key.
                 return _error_response(503, "a newer configuration is on its way; nothing was done")
             return _error_response(401, "no key that is in force")
         if not name:
             return await self._count_waiting(route)
-        if not self.context.store_answers():
+        if not self.context.is_store_responding():
             return _error_response(503, "the store does not answer; nothing was done")
         give_up_at = monotonic() + _time_limit_s(request, route)
         match request.method:
@@ -274,9 +274,9 @@
                 return _error_response(409, "the id can't be used")
 
     async def _read_state(
-        self, route: Route, caller: AccountId, job: JobId, give_up_at: float
+        self, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> web.Response:
-        result = await self.context.jobs.state(route, caller, job, give_up_at)
+        result = await self.context.jobs.phase(route, account, job, give_up_at)
         match result:
             case Result(tag="ok", ok=None):
                 return _error_response(410, "no such job")
@@ -287,9 +287,9 @@
                 return _error_response(503, "the state can't be read at present")
 
     async def _cancel(
-        self, route: Route, caller: AccountId, job: JobId, give_up_at: float
+        self, route: Route, account: AccountId, job: JobId, give_up_at: float
     ) -> web.Response:
-        outcome = await self.context.jobs.cancel(route, caller, job, give_up_at)
+        outcome = await self.context.jobs.cancel(route, account, job, give_up_at)
         match outcome:
             case CancellationOutcome.DONE:
                 return _json_response(200, {"state": "cancelled"})
--- a/pumicespur/platform/_fleet.py
+++ b/pumicespur/platform/_fleet.py
@@ -10,7 +10,7 @@
 
 from pumicespur.model import DataHall, Instance, InstanceId, InstanceState, PoolId, WorkerName
 from pumicespur.platform._declarations import WireCapacity, find_rack
-from pumicespur.platform._http import JSON_HEADERS, HttpCaller, Response, Transfer, decode_body
+from pumicespur.platform._http import JSON_HEADERS, HttpClient, Response, Transfer, decode_body
 from pumicespur.store import NeverDone, Unavailable
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
 class FleetOrders:
     """Calls that list instances and order changes; orders carry `holder` and its fencing token."""
 
-    def __init__(self, settings: FleetSettings, holder: str, client: HttpCaller) -> None:
+    def __init__(self, settings: FleetSettings, holder: str, client: HttpClient) -> None:
         self.settings = settings
         self.holder = holder
         self.client = client
--- a/pumicespur/platform/_http.py
+++ b/pumicespur/platform/_http.py
@@ -110,7 +110,7 @@
         return Error(AnswerLost(f"not understood: {failure}"))
 
 
-class HttpCaller:
+class HttpClient:
     """A pool of connections; a failed call returns whether the request may have arrived."""
 
     def __init__(self, connections_per_address: int) -> None:
--- a/pumicespur/platform/_orders.py
+++ b/pumicespur/platform/_orders.py
@@ -21,7 +21,7 @@
     worker_name,
 )
 from pumicespur.platform._declarations import StartTimeMs, decode_start_time
-from pumicespur.platform._http import JSON_HEADERS, HttpCaller, Response, decode_body
+from pumicespur.platform._http import JSON_HEADERS, HttpClient, Response, decode_body
 from pumicespur.store import AnswerLost, Unavailable
 
 if TYPE_CHECKING:
@@ -113,7 +113,7 @@
     """
 
     def __init__(
-        self, settings: WorkerSettings, client: HttpCaller, watch_client: HttpCaller
+        self, settings: WorkerSettings, client: HttpClient, watch_client: HttpClient
     ) -> None:
         self.settings = settings
         self.client = client
@@ -142,14 +142,14 @@
         body = _StopRequest(task, run, token)
         return await self._order(worker, STOP_PATH, body, self.settings.call_timeout_s)
 
-    async def pace(
+    async def throttle(
         self, worker: Worker, token: int, task: TaskName, run: int, percent: int
     ) -> Result[None, OtherLife | Refused | Unavailable | AnswerLost]:
         """Throttle a run to a percentage of its speed."""
         body = _ThrottleRequest(task, run, percent, token)
         return await self._order(worker, THROTTLE_PATH, body, self.settings.call_timeout_s)
 
-    async def hold(
+    async def renew_leases(
         self, worker: Worker, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
     ) -> Result[WorkerStatus, OtherLife | StartedAgain | Refused | Unavailable | AnswerLost]:
         """Renew the lease of all runs, acknowledge ends, and read the worker's status."""
@@ -168,7 +168,7 @@
             case Result(error=error):
                 return Error(error)
 
-    async def advise(
+    async def request_tickets(
         self, step: str, workers: Sequence[WorkerId]
     ) -> Result[tuple[dict[WorkerId, str], float], Unavailable | AnswerLost]:
         """Request admission tickets for a step; return them by worker, and their validity (s)."""
@@ -209,7 +209,7 @@
 
     async def _call(
         self,
-        client: HttpCaller,
+        client: HttpClient,
         worker: Worker,
         path: str,
         body: msgspec.Struct,
--- a/pumicespur/platform/_table.py
+++ b/pumicespur/platform/_table.py
@@ -15,13 +15,13 @@
 from expression import Error, Ok, Result
 from logbook import Logger
 
-from pumicespur.platform._http import JSON_HEADERS, HttpCaller, Response, Transfer, decode_body
+from pumicespur.platform._http import JSON_HEADERS, HttpClient, Response, Transfer, decode_body
 from pumicespur.store import (
     AnswerLost,
-    AnswerTimes,
     Conflict,
     HistoryGone,
     Page,
+    ResponseTimes,
     Row,
     StoreClock,
     StoreUse,
@@ -123,46 +123,46 @@
 class PlatformTable:
     """Calls to the table service, which return expected errors as results and do not raise them."""
 
-    def __init__(self, settings: StoreSettings, client: HttpCaller) -> None:
+    def __init__(self, settings: StoreSettings, client: HttpClient) -> None:
         self.settings = settings
         self.client = client
         self.base_url = f"http://{settings.address}"
-        self.use = StoreUse()
-        self.times = AnswerTimes(settings.timeout_s, settings.max_timeout_s)
+        self.usage = StoreUse()
+        self.response_times = ResponseTimes(settings.timeout_s, settings.max_timeout_s)
         self.clock = StoreClock()
         self.pending_reads: set[Transfer] = set()
-        self.answered_at = float("-inf")
+        self.last_success_at = float("-inf")
         """When the service last responded with a result (monotonic seconds)."""
         self.last_failure_at = float("-inf")
         """When a call was last refused or got no response (monotonic seconds)."""
 
-    def silent_s(self, now: float) -> float:
+    def failing_for_s(self, now: float) -> float:
         """Return the time since the last success, in seconds; 0 if the last call succeeded."""
-        return now - self.answered_at if self.last_failure_at > self.answered_at else 0.0
+        return now - self.last_success_at if self.last_failure_at > self.last_success_at else 0.0
 
-    def answers(self) -> bool:
+    def is_responding(self) -> bool:
         """Return whether the service responded with a result within `MAX_RESPONSE_AGE_S`."""
-        return monotonic() - self.answered_at < MAX_RESPONSE_AGE_S
+        return monotonic() - self.last_success_at < MAX_RESPONSE_AGE_S
 
     def _note_outcome(self, result: Result[Response, Unavailable | AnswerLost]) -> None:
         now = monotonic()
         if not result.is_ok() or result.ok.status not in EXPECTED_STATUSES:
             self.last_failure_at = now
             return
-        silent_s = self.silent_s(now)
-        self.answered_at = now
-        if silent_s > RENEWAL_DELAY_S:
+        failing_for_s = self.failing_for_s(now)
+        self.last_success_at = now
+        if failing_for_s > RENEWAL_DELAY_S:
             # Requests sent during the outage may never get a response.
-            self.renew_readings()
+            self.renew_pending_reads()
 
-    def renew_readings(self) -> None:
+    def renew_pending_reads(self) -> None:
         """Give up the pending reads that received nothing; their connections may be dead.
 
         A read that is receiving, or was sent less than a call's timeout ago, goes on, since it
         carries the data that is needed. When reads were given up at each newer version, and a new
         configuration was written every 0.8 s, none arrived for 14 s over a link of 10 Mbit/s.
         """
-        allowed_s = self.times.timeout_s()
+        allowed_s = self.response_times.timeout_s()
         for read in list(self.pending_reads):
             if read.first_bytes_at is None and read.elapsed_s > allowed_s:
                 read.give_up()
@@ -220,7 +220,7 @@
         start = ""
         while True:
             query = {"table": table, "part": part, "from": start, "limit": str(MAX_PAGE_ROWS)}
-            transfer = Transfer(min(self.times.timeout_s(), first_bytes_timeout_s))
+            transfer = Transfer(min(self.response_times.timeout_s(), first_bytes_timeout_s))
             result = _decode_rows(
                 await self._read(_path_with_query(READ_PATH, query), transfer, table)
             )
@@ -247,7 +247,7 @@
         that changed several times only the newest state is kept. A removed row has no value.
         """
         query = {"table": table, "dependsOn": str(since), "waitMs": str(int(wait_s * 1000))}
-        allowed_s = self.times.timeout_s()
+        allowed_s = self.response_times.timeout_s()
         transfer = Transfer(wait_s + min(allowed_s, first_bytes_timeout_s or allowed_s))
         result = _decode_rows(
             await self._read(_path_with_query(CHANGES_PATH, query), transfer, table)
@@ -260,9 +260,9 @@
         """Note the time to the first bytes; the time for the rest depends on the link."""
         now = monotonic()
         if transfer.first_bytes_at is None:
-            self.times.note_silence(now, transfer.elapsed_s)
+            self.response_times.note_timeout(now, transfer.elapsed_s)
         else:
-            self.times.note_answer(now, transfer.first_bytes_after_s)
+            self.response_times.note_response(now, transfer.first_bytes_after_s)
 
     async def _read(
         self, path: str, transfer: Transfer, table: str
@@ -272,7 +272,7 @@
             result = await self.client.read(self.base_url + path, transfer)
         finally:
             self.pending_reads.discard(transfer)
-            self.use.note(table, 0, transfer.received_bytes)
+            self.usage.note(table, 0, transfer.received_bytes)
         if not transfer.given_up:
             self._note_outcome(result)
         return result
@@ -283,15 +283,15 @@
         """Send a request; its timeout follows recent response times and the size of the body."""
         started_at = monotonic()
         upload_s = len(body or b"") / MIN_UPLOAD_BYTES_PER_S
-        result = await self._call(method, path, self.times.timeout_s() + upload_s, body)
+        result = await self._call(method, path, self.response_times.timeout_s() + upload_s, body)
         now = monotonic()
         received = result.map(lambda r: len(r.body)).default_value(0)
-        self.use.note(table, len(body or b""), received)
+        self.usage.note(table, len(body or b""), received)
         self._note_outcome(result)
         if result.is_ok():
-            self.times.note_answer(now, now - started_at)
+            self.response_times.note_response(now, now - started_at)
         else:
-            self.times.note_silence(now, now - started_at)
+            self.response_times.note_timeout(now, now - started_at)
         return result
 
     async def _call(
--- a/pumicespur/processes/_process.py
+++ b/pumicespur/processes/_process.py
@@ -87,7 +87,7 @@
             "settings": self._describe_settings(),
             "revision": fleet.revision,
             "store": {
-                "silent_s": self.platform.silent_s(),
+                "silent_s": self.platform.last_response_age_s(),
                 "reads": self.platform.reads,
                 "writes": self.platform.writes,
             },
@@ -125,7 +125,7 @@
         """Return the values of the metrics page by metric name; roles add their own."""
         return {
             "revision": self.replica.revision,
-            "store_silent_seconds": self.platform.silent_s(),
+            "store_silent_seconds": self.platform.last_response_age_s(),
             "store_reads_total": self.platform.reads,
             "store_writes_total": self.platform.writes,
             "peer_bytes_total": self.peers.bytes,
--- a/pumicespur/store/__init__.py
+++ b/pumicespur/store/__init__.py
@@ -15,13 +15,13 @@
     NeverDone,
     Unavailable,
 )
-from pumicespur.store._latency import AnswerTimes
+from pumicespur.store._latency import ResponseTimes
 from pumicespur.store._rows import (
     Condition,
     Listing,
     Page,
-    Reading,
     Row,
+    TableProgress,
     Transaction,
     UsageListing,
     Write,
@@ -30,7 +30,6 @@
 
 __all__ = [
     "AnswerLost",
-    "AnswerTimes",
     "Condition",
     "Conflict",
     "Fault",
@@ -38,10 +37,11 @@
     "Listing",
     "NeverDone",
     "Page",
-    "Reading",
+    "ResponseTimes",
     "Row",
     "StoreClock",
     "StoreUse",
+    "TableProgress",
     "Transaction",
     "Unavailable",
     "UsageListing",
--- a/pumicespur/store/_clock.py
+++ b/pumicespur/store/_clock.py
@@ -9,26 +9,26 @@
 class StoreClock:
     """The newest reading of the store's clock; 0 before the first one."""
 
-    shown_ms: int = 0
+    reading_ms: int = 0
     sent_at: float = 0.0
     """When the call was sent whose response carried the reading (monotonic seconds)."""
     received_at: float = 0.0
     """When that response arrived (monotonic seconds)."""
 
-    def note(self, shown_ms: int, sent_at: float, received_at: float) -> None:
+    def note(self, reading_ms: int, sent_at: float, received_at: float) -> None:
         """Note a reading in milliseconds; responses without one have 0."""
-        if shown_ms:
-            self.shown_ms, self.sent_at, self.received_at = shown_ms, sent_at, received_at
+        if reading_ms:
+            self.reading_ms, self.sent_at, self.received_at = reading_ms, sent_at, received_at
 
     @property
     def known(self) -> bool:
         """Whether the clock has been read."""
-        return self.shown_ms > 0
+        return self.reading_ms > 0
 
     def at_most_ms(self, now: float) -> int:
         """Return an upper bound of the clock's present time, in milliseconds."""
-        return self.shown_ms + int((now - self.sent_at) * 1000) + 1
+        return self.reading_ms + int((now - self.sent_at) * 1000) + 1
 
     def at_least_ms(self, now: float) -> int:
         """Return a lower bound of the clock's present time, in milliseconds."""
-        return self.shown_ms + int((now - self.received_at) * 1000)
+        return self.reading_ms + int((now - self.received_at) * 1000)
--- a/pumicespur/store/_latency.py
+++ b/pumicespur/store/_latency.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class AnswerTimes:
+class ResponseTimes:
     """The mean of response times and the longest recent one, in seconds.
 
     A call without a response only shows that its timeout was too short, so it doubles the next
@@ -42,13 +42,13 @@
         allowed = self.min_s + MEAN_FACTOR * self.mean_s
         return min(self.max_s, allowed * 2**self.doublings)
 
-    def note_answer(self, now: float, took_s: float) -> None:
+    def note_response(self, now: float, took_s: float) -> None:
         """Note a response."""
         self.doublings = 0
         self.mean_s += SMOOTHING_FACTOR * (took_s - self.mean_s)
         self._note_recent(now, took_s)
 
-    def note_silence(self, now: float, waited_s: float) -> None:
+    def note_timeout(self, now: float, waited_s: float) -> None:
         """Note a call that got no response in time."""
         if self.timeout_s() < self.max_s:
             self.doublings += 1
@@ -59,10 +59,10 @@
         while self.recent and now - self.recent[0][0] > RECENT_WINDOW_S:
             self.recent.popleft()
 
-    def worst_s(self, now: float) -> float:
+    def max_recent_s(self, now: float) -> float:
         """Return the longest time that a recent call took, in seconds."""
         return max((took for at, took in self.recent if now - at <= RECENT_WINDOW_S), default=0.0)
 
-    def patience_s(self, now: float) -> float:
+    def fallback_timeout_s(self, now: float) -> float:
         """Return the time, in seconds, after which to read the rows in another way."""
-        return CHANGES_SLACK_S + SLOWEST_FACTOR * self.worst_s(now)
+        return CHANGES_SLACK_S + SLOWEST_FACTOR * self.max_recent_s(now)
--- a/pumicespur/store/_rows.py
+++ b/pumicespur/store/_rows.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Reading:
+class TableProgress:
     """How far a table is known: every change up to a version, as of a monotonic time.
 
     A change that the store accepted before `asked_at` is known; a later one may or may not be.
--- a/pumicespur/view/__init__.py
+++ b/pumicespur/view/__init__.py
@@ -2,6 +2,6 @@
 
 from __future__ import annotations
 
-from pumicespur.view._view import NodeView, SeenOwner, SeenProcess, SeenReport
+from pumicespur.view._view import FleetView, SeenOwner, SeenProcess, SeenReport
 
-__all__ = ["NodeView", "SeenOwner", "SeenProcess", "SeenReport"]
+__all__ = ["FleetView", "SeenOwner", "SeenProcess", "SeenReport"]
--- a/pumicespur/view/_view.py
+++ b/pumicespur/view/_view.py
@@ -8,7 +8,7 @@
 from logbook import Logger
 
 from pumicespur.model import Configuration, PoolId, ProcessId, RouteName, WorkerName
-from pumicespur.store import Reading
+from pumicespur.store import TableProgress
 from pumicespur.utils import monotonic
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
 
 
 @dataclass
-class NodeView:
+class FleetView:
     """The known state of the fleet in one process; each part is updated by one task."""
 
     configuration: Configuration = field(default_factory=lambda: Configuration(-1, {}, {}))
@@ -62,7 +62,7 @@
     workers: dict[WorkerName, Worker] = field(default_factory=dict)
     """Followed only while this process owns a pool; `reports`, while it holds a role."""
     workers_known: bool = False
-    workers_reading: Reading = field(default_factory=Reading)
+    workers_progress: TableProgress = field(default_factory=TableProgress)
     """The version up to which the list of workers is known, and as of when."""
     processes: dict[ProcessId, SeenProcess] = field(default_factory=dict)
     reports: dict[ProcessId, SeenReport] = field(default_factory=dict)
@@ -110,11 +110,11 @@
         if version > self.configuration.version:
             self.newer_versions.setdefault(version, now)
 
-    def newest_heard(self) -> int:
+    def newest_known_version(self) -> int:
         """Return the newest configuration version that any process is known to have in force."""
         return max(self.newer_versions, default=self.configuration.version)
 
-    def outdated_s(self, now: float) -> float:
+    def configuration_behind_s(self, now: float) -> float:
         """Return for how long this process has known of a newer configuration that it lacks."""
         return now - min(self.newer_versions.values(), default=now)
 
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -46,13 +46,13 @@
 """Max delay that a slow store or link adds."""
 
 THIN_BYTES_PER_S = 150_000
-"""Bandwidth of a thin link: one large configuration takes half a second."""
+"""Bandwidth of a slow link: one large configuration takes half a second."""
 
 EXTRA_ROUTES = 300
 """Additional routes of a large configuration."""
 
 CONFIGURE_INTERVAL_S = 0.2
-"""Interval of configurations in quick succession; shorter than one takes over a thin link."""
+"""Interval of configurations in quick succession; shorter than one takes over a slow link."""
 
 PLANNED_KINDS = frozenset(
     {
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -117,7 +117,7 @@
         case Mutant.BUDGETS_IGNORED:
             _replace(_availability, "count_unavailable_others", lambda *arguments: 0)
         case Mutant.READINGS_BROKEN_OFF:
-            _replace(_table.PlatformTable, "renew_readings", _break_off)
+            _replace(_table.PlatformTable, "renew_pending_reads", _break_off)
         case Mutant.LOSSES_FORGOTTEN:
             _replace(_pool, "exceeds_loss_limit", lambda task: False)
         case Mutant.KEYS_CHECKED_AT_HAND_IN:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -25,7 +25,7 @@
 from pumicespur.platform import decode_configuration
 from pumicespur.platform._callers import bearer_key
 from pumicespur.schema.jobs_pb import JobRecord
-from pumicespur.view import NodeView
+from pumicespur.view import FleetView
 from tests.test_node import LONG_RUNNING, STEP, NodeCase, job_id
 
 KEY = "k-first-0001"
@@ -132,7 +132,7 @@
     """What operators can see of refused calls."""
 
     def setUp(self) -> None:
-        self.view = NodeView()
+        self.view = FleetView()
         self.refusals = KeyRefusals()
 
     def take(self, version: int, *keys: str) -> None:
@@ -165,7 +165,7 @@
     """Which configuration decides whether a key is valid."""
 
     def test_older_configuration_does_not_replace_a_newer_one(self) -> None:
-        view = NodeView()
+        view = FleetView()
         for version, key in ((2, NEXT_KEY), (1, KEY), (2, KEY)):
             keys = {key_digest(key): AccountId("a")}
             view.apply_configuration(Configuration(version, {}, {}, keys=keys))
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -11,7 +11,7 @@
 from logbook import Logger
 
 from pumicespur.commands.explain import read_lines, select_lines
-from pumicespur.store import AnswerTimes
+from pumicespur.store import ResponseTimes
 from pumicespur.utils._event_log import MAX_WAITING_LINES, EventHandler
 
 
@@ -86,20 +86,20 @@
     """Timeouts that adapt to the store's response times."""
 
     def test_a_missing_response_doubles_the_timeout_and_a_response_resets_it(self) -> None:
-        times = AnswerTimes(0.4, 3.0)
-        times.note_silence(0.0, 0.4)
+        times = ResponseTimes(0.4, 3.0)
+        times.note_timeout(0.0, 0.4)
         self.assertAlmostEqual(0.8, times.timeout_s())
-        times.note_answer(1.0, 0.3)
+        times.note_response(1.0, 0.3)
         self.assertAlmostEqual(0.4 + 4 * 0.06, times.timeout_s())
 
     def test_timeout_is_bounded(self) -> None:
-        times = AnswerTimes(0.4, 3.0)
+        times = ResponseTimes(0.4, 3.0)
         for second in range(20):
-            times.note_silence(second, 3.0)
+            times.note_timeout(second, 3.0)
         self.assertEqual(3.0, times.timeout_s())
 
     def test_slow_responses_are_remembered_for_a_while(self) -> None:
-        times = AnswerTimes(0.4, 3.0)
-        times.note_answer(0.0, 0.9)
-        self.assertEqual(0.9, times.worst_s(2.0))
-        self.assertEqual(0.0, times.worst_s(4.0))
+        times = ResponseTimes(0.4, 3.0)
+        times.note_response(0.0, 0.9)
+        self.assertEqual(0.9, times.max_recent_s(2.0))
+        self.assertEqual(0.0, times.max_recent_s(4.0))
--- a/tests/test_fleet_leader.py
+++ b/tests/test_fleet_leader.py
@@ -248,7 +248,7 @@
         # afterwards.
         first = await self.become_leader("first")
         await first.announce({self.name})
-        self.journal.clock.shown_ms += 3_000
+        self.journal.clock.reading_ms += 3_000
         second = await self.become_leader("second")
         self.assertFalse(second.may_order(self.name))
         self.assertLess(self.may_order_after(second), INTENT_AGE_S - 2.9)
--- a/tests/test_incarnations_model.py
+++ b/tests/test_incarnations_model.py
@@ -44,9 +44,9 @@
 )
 from pumicespur.schema.jobs_pb import JobPhase, ProgressRecord, StepRecord
 from pumicespur.schema.node_pb import WorkerSettings
-from pumicespur.store import AnswerLost, Reading, Unavailable, Write
+from pumicespur.store import AnswerLost, TableProgress, Unavailable, Write
 from pumicespur.utils import monotonic
-from pumicespur.view import NodeView
+from pumicespur.view import FleetView
 from tests.base import quiet_loop
 from tests.test_jobs import POOL, ROUTE, make_record, make_worker
 
@@ -222,7 +222,7 @@
             self._end(incarnation, present, RunEnd.STOPPED)
         return Ok(None)
 
-    async def hold(
+    async def renew_leases(
         self, worker: Worker, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
     ) -> Result[WorkerStatus, Any]:
         """Apply acknowledgements and return the status."""
@@ -299,7 +299,7 @@
         self.workers_type = workers
         self.records = Records()
         pools = {POOL: PoolSettings(POOL, True, False)}
-        self.view = NodeView(Configuration(1, {ROUTE.name: ROUTE}, pools))
+        self.view = FleetView(Configuration(1, {ROUTE.name: ROUTE}, pools))
         self.view.workers_known = True
         self.owner: PoolOwner | None = None
         short = StepRecord(count=3, cpu_millis=100, estimated_ms=20)
@@ -336,9 +336,9 @@
     async def _refresh_tables(self) -> None:
         """Keep the tables fresh; the plan itself delays what the owner sees of them."""
         while True:
-            self.view.workers_reading = Reading(1, monotonic())
+            self.view.workers_progress = TableProgress(1, monotonic())
             if self.owner is not None:
-                self.owner.submissions.reading = Reading(1, monotonic())
+                self.owner.submissions.progress = TableProgress(1, monotonic())
             await anyio.sleep(READ_S)
 
     async def _submit_jobs(self) -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -58,7 +58,7 @@
     ProgressRecord,
     StepRecord,
 )
-from pumicespur.store import AnswerLost, AnswerTimes, Fault, Page, Transaction, Unavailable
+from pumicespur.store import AnswerLost, Fault, Page, ResponseTimes, Transaction, Unavailable
 from pumicespur.utils import monotonic
 from tests.base import default_settings
 
@@ -522,24 +522,26 @@
         parts: list[str] = []
 
         class Table:
-            times = AnswerTimes(0.4, 3.0)
+            response_times = ResponseTimes(0.4, 3.0)
 
-            def answers(self) -> bool:
+            def is_responding(self) -> bool:
                 return True
 
             async def changes(
-                self, table: str, since: int, wait_s: float, patience_s: float
+                self, table: str, since: int, wait_s: float, first_bytes_timeout_s: float
             ) -> Result[Page, Fault]:
-                asked.append(wait_s + patience_s)
+                asked.append(wait_s + first_bytes_timeout_s)
                 if len(asked) == 2:
                     raise EOFError
                 return Error(AnswerLost("nothing came"))
 
-            async def scan(self, table: str, part: str, patience_s: float) -> Result[Page, Fault]:
+            async def scan(
+                self, table: str, part: str, first_bytes_timeout_s: float
+            ) -> Result[Page, Fault]:
                 parts.append(part)
                 return Ok(Page([], 7))
 
-        Table.times.note_answer(monotonic(), 0.01)
+        Table.response_times.note_response(monotonic(), 0.01)
         pool = make_pool()
         follower = SubmissionFollower(
             pool,
@@ -553,7 +555,7 @@
             await follower.follow()
         self.assertLessEqual(asked[0], 0.5)
         self.assertEqual(sorted(submission_partitions(PoolId("main"))), sorted(parts))
-        self.assertEqual(7, follower.reading.version)
+        self.assertEqual(7, follower.progress.version)
 
 
 class PoolSizerTest(unittest.TestCase):
@@ -634,7 +636,7 @@
     def setUp(self) -> None:
         self.calls: list[Transaction] = []
         self.answers: Any = Ok(1)
-        table = SimpleNamespace(transact=self.transact, times=AnswerTimes(0.4, 3.0))
+        table = SimpleNamespace(transact=self.transact, response_times=ResponseTimes(0.4, 3.0))
         self.cleanup = SubmissionCleanup(PoolId("main"), cast("Any", table))
 
     async def transact(self, transaction: Transaction) -> object:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -23,9 +23,9 @@
 from pumicespur.node._process_tracker import ProcessTracker
 from pumicespur.schema.jobs_pb import DutyReport, PoolReport, StepRecord
 from pumicespur.schema.node_pb import WorkerSettings
-from pumicespur.store import Reading, Row, StoreClock
+from pumicespur.store import Row, StoreClock, TableProgress
 from pumicespur.utils import monotonic
-from pumicespur.view import NodeView, SeenReport
+from pumicespur.view import FleetView, SeenReport
 from tests.base import default_settings, quiet_loop
 from tests.test_jobs import make_pool, make_record, make_worker, submit
 from tests.test_node import STEP, NodeCase, job_id
@@ -146,17 +146,19 @@
 
     def test_validity_of_an_order_is_the_shortest_of_all_tables(self) -> None:
         settings = self.settings(2000)
-        fresh, old = Reading(1, 10.0), Reading(1, 8.5)
+        fresh, old = TableProgress(1, 10.0), TableProgress(1, 8.5)
         self.assertAlmostEqual(2.0, KnownState(fresh, fresh).valid_for_s(settings, 10.0))
         self.assertAlmostEqual(1.5, KnownState(fresh, old).valid_for_s(settings, 10.0))
 
     def test_the_age_of_each_table_is_checked(self) -> None:
-        settings, fresh = self.settings(2000), Reading(1, 10.0)
+        settings, fresh = self.settings(2000), TableProgress(1, 10.0)
         self.assertEqual("", KnownState(fresh, fresh).staleness_reason(settings, 11.0))
         self.assertIn(
-            "workers", KnownState(Reading(1, 9.0), fresh).staleness_reason(settings, 11.0)
+            "workers", KnownState(TableProgress(1, 9.0), fresh).staleness_reason(settings, 11.0)
+        )
+        self.assertIn(
+            "cancel", KnownState(fresh, TableProgress(1, 8.0)).staleness_reason(settings, 11.0)
         )
-        self.assertIn("cancel", KnownState(fresh, Reading(1, 8.0)).staleness_reason(settings, 11.0))
 
 
 class EvacuatedWorkerTest(unittest.TestCase):
@@ -194,7 +196,7 @@
     """A report that is read long after it was sent."""
 
     def test_its_age_counts_from_its_sending(self) -> None:
-        view = NodeView()
+        view = FleetView()
         table: Any = SimpleNamespace(clock=StoreClock())
         now = monotonic()
         table.clock.note(60_000, now, now)
@@ -208,7 +210,7 @@
             self.assertEqual(known, bool(view.fresh_reports(3.0)))
 
     def test_without_a_leader_evacuations_are_unknown(self) -> None:
-        view = NodeView()
+        view = FleetView()
         view.reports[ProcessId("owner")] = SeenReport(DutyReport(process="owner"), monotonic())
         self.assertIsNone(view.evacuations(3.0))
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -28,9 +28,9 @@
     WaitingCount,
 )
 from pumicespur.schema.node_pb import NodeProcessSettings, StoreSettings, WorkerSettings
-from pumicespur.store import AnswerTimes, Row, StoreClock
+from pumicespur.store import ResponseTimes, Row, StoreClock
 from pumicespur.utils import monotonic
-from pumicespur.view import NodeView, SeenOwner, SeenProcess
+from pumicespur.view import FleetView, SeenOwner, SeenProcess
 
 if TYPE_CHECKING:
     from pumicespur.jobs import EarlierLeases
@@ -45,10 +45,10 @@
 
     def __init__(self) -> None:
         self.renewals = 0
-        self.times = AnswerTimes(0.4, 3.0)
+        self.response_times = ResponseTimes(0.4, 3.0)
         self.clock = StoreClock()
 
-    def renew_readings(self) -> None:
+    def renew_pending_reads(self) -> None:
         """Count a renewal."""
         self.renewals += 1
 
@@ -64,7 +64,7 @@
         self.table = CountingTable()
         nothing = cast("Any", None)
         self.controller = OwnershipController(
-            settings, NodeView(), cast("Any", self.table), nothing, nothing, "life"
+            settings, FleetView(), cast("Any", self.table), nothing, nothing, "life"
         )
         self.controller.view.gapless_since = NOW
         self.tracker = self.controller.tracker
@@ -204,7 +204,7 @@
 
     def take_over(self, owner: SeenOwner, now: float = NOW) -> tuple[Predecessors, EarlierLeases]:
         """Take the pool over from an owner."""
-        predecessors = Predecessors(self.settings, NodeView(), self.clock)
+        predecessors = Predecessors(self.settings, FleetView(), self.clock)
         return predecessors, predecessors.track_leases(self.pool, owner, now)
 
     def test_leases_of_an_owner_that_may_be_cut_off_are_waited_for(self) -> None:
@@ -375,7 +375,7 @@
         )
         self.roles = OwnedRoles()
         self.writer = HeartbeatWriter(
-            settings, NodeView(), cast("Any", self.table), self.roles, "life"
+            settings, FleetView(), cast("Any", self.table), self.roles, "life"
         )
 
     async def write_heartbeat(self) -> str:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,7 +18,7 @@
 from pumicespur.node._workers import WorkerList
 from pumicespur.platform import decode_worker
 from pumicespur.store import Row
-from pumicespur.view import NodeView
+from pumicespur.view import FleetView
 from standins.hosted import FOREIGN_ENTRIES, USUAL_ENTRY
 from tests.base import default_settings
 from tests.test_jobs import make_worker
@@ -98,7 +98,7 @@
     """Rows of the workers' table as an owner applies them."""
 
     def setUp(self) -> None:
-        self.view = NodeView()
+        self.view = FleetView()
         controller: Any = SimpleNamespace(sync_workers=lambda: None)
         self.list = WorkerList(default_settings(), self.view, cast("Any", None), controller)
 
@@ -144,7 +144,7 @@
         worker = make_worker("w")
         entry = replace(make_worker("other"), instance=worker.instance, pool=PoolId(pool))
         known = {PoolId("main"): PoolSettings(PoolId("main"), True, False)}
-        view = NodeView(Configuration(1, {}, known), workers={entry.name: entry})
+        view = FleetView(Configuration(1, {}, known), workers={entry.name: entry})
         owner: Any = SimpleNamespace(view=view)
         watch: Any = SimpleNamespace(load=WorkerLoad(worker))
         return PoolOwner._has_successor(owner, watch)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -25,7 +25,7 @@
 from pumicespur.model import Configuration, PoolSettings, WorkerName, worker_id
 from pumicespur.schema.node_pb import WorkerSettings
 from pumicespur.utils import now_ms
-from pumicespur.view import NodeView
+from pumicespur.view import FleetView
 from tests.test_jobs import POOL, make_worker
 from tests.test_node import STEP, NodeCase, job_id
 
@@ -221,7 +221,7 @@
         previous, current = self.incarnations
         self.restarts.note_ended(previous.id, 200.0, leased=True)
         pools = {POOL: PoolSettings(POOL, True, False)}
-        view = NodeView(Configuration(1, {}, pools), workers={previous.name: previous})
+        view = FleetView(Configuration(1, {}, pools), workers={previous.name: previous})
         owner: Any = SimpleNamespace(view=view, restarts=self.restarts)
         watch: Any = SimpleNamespace(id=current.id, load=WorkerLoad(current))
         self.assertFalse(PoolOwner._has_next_incarnation(owner, watch))
--- a/tests/test_thin_links.py
+++ b/tests/test_slow_links.py
@@ -15,7 +15,7 @@
 
 import anyio
 
-from pumicespur.platform import HttpCaller, PlatformTable
+from pumicespur.platform import HttpClient, PlatformTable
 from pumicespur.schema.node_pb import StoreSettings
 from pumicespur.store import Transaction, Unavailable, Write
 from standins.hosted import Link, Passage, World
@@ -125,7 +125,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.change()
-        self.client = HttpCaller(2)
+        self.client = HttpClient(2)
         self.addAsyncCleanup(self.client.aclose)
         settings = StoreSettings(address=self.link.address, timeout_s=0.1, max_timeout_s=0.1)
         self.table = PlatformTable(settings, self.client)
@@ -145,7 +145,7 @@
             tasks.start_soon(follow)
             while not results:
                 await asyncio.sleep(0.01)
-                self.table.renew_readings()
+                self.table.renew_pending_reads()
         return results[0]
 
     async def test_watch_that_is_receiving_goes_on(self) -> None:
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -16,7 +16,7 @@
     TableFollower,
 )
 from pumicespur.schema.node_pb import StoreSettings
-from pumicespur.store import AnswerLost, AnswerTimes, Page, Row
+from pumicespur.store import AnswerLost, Page, ResponseTimes, Row
 from pumicespur.utils import monotonic
 from tests.base import quiet_loop
 
@@ -41,9 +41,9 @@
         self.script = responses
         self.requests: list[str] = []
         self.done = anyio.Event()
-        self.times = AnswerTimes(0.4, 3.0)
+        self.response_times = ResponseTimes(0.4, 3.0)
 
-    def answers(self) -> bool:
+    def is_responding(self) -> bool:
         """Return whether other calls succeed."""
         return True
 
@@ -51,12 +51,14 @@
         """Respond to a fallback read."""
         return await self._respond("rows")
 
-    async def scan(self, name: str, part: str, patience_s: float = math.inf) -> Result[Page, Fault]:
+    async def scan(
+        self, name: str, part: str, first_bytes_timeout_s: float = math.inf
+    ) -> Result[Page, Fault]:
         """Respond to a scan."""
         return await self._respond("all")
 
     async def changes(
-        self, name: str, since: int, wait_s: float, patience_s: float | None = None
+        self, name: str, since: int, wait_s: float, first_bytes_timeout_s: float | None = None
     ) -> Result[Page, Fault]:
         """Respond to a request for changes."""
         return await self._respond(f"since {since}")
@@ -124,18 +126,18 @@
     async def test_empty_response_proves_nothing_where_rows_change_all_the_time(self) -> None:
         responses = (page(5, 5), page(6))
         await self.follow(RescanPolicy(math.inf), *responses, has_fallback=True, max_age_s=60.0)
-        self.assertEqual(5, self.follower.reading.version)
+        self.assertEqual(5, self.follower.progress.version)
 
     async def test_truncated_response_proves_nothing_newer(self) -> None:
         responses = (page(5, 5), page(6, 6, complete=False))
         await self.follow(RescanPolicy(math.inf), *responses)
-        self.assertEqual(5, self.follower.reading.version)
+        self.assertEqual(5, self.follower.progress.version)
 
     async def test_what_is_known_is_as_old_as_the_request(self) -> None:
         began = monotonic()
         await self.follow(RescanPolicy(math.inf), page(5, 5), page(6))
-        self.assertEqual(6, self.follower.reading.version)
-        self.assertLessEqual(began, self.follower.reading.asked_at)
+        self.assertEqual(6, self.follower.progress.version)
+        self.assertLessEqual(began, self.follower.progress.asked_at)
 
     async def test_changes_follow_the_first_scan(self) -> None:
         policy = RescanPolicy(math.inf, when_outdated=True)
--- a/tests/test_worker_session.py
+++ b/tests/test_worker_session.py
@@ -25,7 +25,7 @@
     worker_id,
 )
 from pumicespur.schema.jobs_pb import StepRecord
-from pumicespur.store import AnswerLost, Reading
+from pumicespur.store import AnswerLost, TableProgress
 from pumicespur.utils import monotonic
 from tests.base import default_settings, quiet_loop
 from tests.test_jobs import make_pool, make_record, make_worker, submit
@@ -60,7 +60,7 @@
         self.orders.append(order)
         return Ok(None)
 
-    async def hold(
+    async def renew_leases(
         self, worker: Any, token: int, last_seen: int, deadline_ms: int | None, wait_s: float
     ) -> Result[WorkerStatus, Any]:
         """Return the worker's status or the next error."""
@@ -96,7 +96,9 @@
         """Return state that is fresh unless the test sets ages."""
         now = monotonic()
         return KnownState(
-            Reading(1, now - self.workers_age_s), Reading(1, now - self.submissions_age_s), 1
+            TableProgress(1, now - self.workers_age_s),
+            TableProgress(1, now - self.submissions_age_s),
+            1,
         )
 
     def may_renew_leases(self, now: float) -> bool:
