--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -10,7 +10,7 @@
 from pumicespur.config import load_declaration
 from pumicespur.planning import decide
 from pumicespur.schema.fleet_pb import Declaration, FailureDomain, Pool, Record, Wave
-from pumicespur.structure import Fleet, PoolId, WaveId, minimum_available
+from pumicespur.structure import Fleet, PoolId, WaveId, min_available_instances
 from standins.model import ModelPlatform, build
 from tests.naive import naive_decide
 
@@ -55,7 +55,7 @@
 
 def min_up(pool: Pool) -> int:
     """Return the number of a pool's instances that must stay up at any time."""
-    return minimum_available(pool) + (pool.headroom is not FailureDomain.UNSPECIFIED)
+    return min_available_instances(pool) + (pool.headroom is not FailureDomain.UNSPECIFIED)
 
 
 def print_waves() -> None:
@@ -66,7 +66,7 @@
         pools, wave = load_example(path)
         rounds, records = wave_rounds(pools, wave, naive=False)
         naive, naive_records = wave_rounds(pools, wave, naive=True)
-        buffer = sum(pool.size - minimum_available(pool) for pool in pools)
+        buffer = sum(pool.size - min_available_instances(pool) for pool in pools)
         size = sum(pool.size for pool in pools)
         rows.append(
             (wave.id, size, buffer, rounds, naive, min_rounds(pools, wave), records, naive_records)
--- a/pumicespur/config/_node_settings.py
+++ b/pumicespur/config/_node_settings.py
@@ -36,7 +36,7 @@
     fleet: FleetSettings = field(default_factory=FleetSettings)
 
     @property
-    def capacity(self) -> float:
+    def cpu_capacity(self) -> float:
         """Return the CPU capacity of the process, in cores of the smallest instance."""
         return self.process.cpu_share * self.process.cpu_speed
 
--- a/pumicespur/jobs/__init__.py
+++ b/pumicespur/jobs/__init__.py
@@ -2,9 +2,13 @@
 
 from __future__ import annotations
 
-from pumicespur.jobs._account_report import count_accounts, describe_accounts, describe_hold
-from pumicespur.jobs._allotment_exchange import PARTS_MAX_AGE_S
-from pumicespur.jobs._demand import FILL_SHARE
+from pumicespur.jobs._account_report import (
+    describe_accounts,
+    describe_limit_block,
+    update_account_metrics,
+)
+from pumicespur.jobs._allotment_exchange import MAX_ALLOTMENT_REPORT_AGE_S
+from pumicespur.jobs._demand import TARGET_UTILIZATION_RATIO
 from pumicespur.jobs._describe import describe_progress
 from pumicespur.jobs._journal import Journal, Ownership, OwnershipLostError
 from pumicespur.jobs._keys import OWNERS_TABLE, owner_key
@@ -14,19 +18,19 @@
 from pumicespur.jobs._service import JobService
 
 __all__ = [
-    "FILL_SHARE",
+    "MAX_ALLOTMENT_REPORT_AGE_S",
     "OWNERS_TABLE",
-    "PARTS_MAX_AGE_S",
+    "TARGET_UTILIZATION_RATIO",
     "EarlierLeases",
     "JobService",
     "Journal",
     "Ownership",
     "OwnershipLostError",
     "PoolOwner",
-    "count_accounts",
     "describe_accounts",
-    "describe_hold",
+    "describe_limit_block",
     "describe_progress",
     "owner_key",
+    "update_account_metrics",
     "workers_max_age_s",
 ]
--- a/pumicespur/jobs/_account_report.py
+++ b/pumicespur/jobs/_account_report.py
@@ -41,7 +41,7 @@
     return sums[:MAX_NAMED_ACCOUNTS], others
 
 
-def count_accounts(pool: PoolState) -> None:
+def update_account_metrics(pool: PoolState) -> None:
     """Update the gauges of accounts."""
     largest, others = _largest(pool)
     for account, used in largest:
@@ -85,7 +85,7 @@
     return described
 
 
-def describe_hold(
+def describe_limit_block(
     pool: PoolState, job: Job, reports: Mapping[PoolId, PoolReport]
 ) -> dict[str, object]:
     """Describe whether an account's limit blocks a job, and the allotments of all pools."""
--- a/pumicespur/jobs/_allotment_exchange.py
+++ b/pumicespur/jobs/_allotment_exchange.py
@@ -28,7 +28,7 @@
 RETRY_DELAY_S = 0.2
 """Pause after an error of the store."""
 
-PARTS_MAX_AGE_S = 3.0
+MAX_ALLOTMENT_REPORT_AGE_S = 3.0
 """Oldest report that is applied: a few heartbeats. Transfers are reported until they are known to
 be taken, so that none is missed."""
 
@@ -93,7 +93,7 @@
         """Apply the other owners' reports and the newest accounts; return if allotments changed."""
         self.limits.set_accounts(self.view.configuration.accounts)
         peers: defaultdict[AccountId, list[PeerAllotment]] = defaultdict(list)
-        for pool, report in self.view.fresh_reports(PARTS_MAX_AGE_S).items():
+        for pool, report in self.view.fresh_reports(MAX_ALLOTMENT_REPORT_AGE_S).items():
             if pool == self.limits.pool:
                 continue
             for part in report.parts:
--- a/pumicespur/jobs/_demand.py
+++ b/pumicespur/jobs/_demand.py
@@ -32,7 +32,7 @@
 WAITING_WEIGHT = 0.5
 """Weight of a waiting task: waiting tasks can run one after another and still finish in time."""
 
-FILL_SHARE = 0.8
+TARGET_UTILIZATION_RATIO = 0.8
 """Share of its workers' capacity that a pool plans to use; tasks seldom fill a worker entirely."""
 
 MIN_WORKERS = 4
@@ -260,7 +260,7 @@
     """Return how many workers of a capacity the demand of a pool requires."""
     cpu = (short.cpu_millis + long_running.cpu_millis) / max(1, capacity.cpu_millis)
     memory = (short.memory_mb + long_running.memory_mb) / max(1, capacity.memory_mb)
-    by_demand = math.ceil(max(cpu, memory) / FILL_SHARE)
+    by_demand = math.ceil(max(cpu, memory) / TARGET_UTILIZATION_RATIO)
     return max(MIN_WORKERS, by_demand, _count_spread_workers(pool))
 
 
--- a/pumicespur/jobs/_lease.py
+++ b/pumicespur/jobs/_lease.py
@@ -20,7 +20,7 @@
         """Return when all of them have expired."""
         return max(self.last_until, self.older_until)
 
-    def shorten(self, last_until: float) -> None:
+    def limit_last(self, last_until: float) -> None:
         """Bring the expiry forward when the previous owner is known to renew no more leases."""
         self.last_until = min(self.last_until, last_until)
 
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -104,7 +104,7 @@
         self.earlier_leases = earlier_leases
         self.pool = PoolState(ownership.pool)
         self.journal = Journal(table, ownership)
-        self.watches: dict[WorkerId, WorkerSession] = {}
+        self.sessions: dict[WorkerId, WorkerSession] = {}
         self.restarts = Restarts(settings.workers, earlier_leases)
         self.request_report = request_report
         """Requests an immediate report to the other processes."""
@@ -125,7 +125,7 @@
         """Request a round."""
         self.changed.set()
 
-    def hear_parts(self) -> None:
+    def apply_allotment_reports(self) -> None:
         """Apply other owners' reports on allotments; request a round only if a transfer is due.
 
         With a round for every report, owners of overloaded pools spent their time on placement.
@@ -206,13 +206,13 @@
             return
         listed = {w.id: w for w in self.view.workers.values() if w.pool == self.ownership.pool}
         # Ended incarnations come first: the next ones adopt their unconfirmed starts.
-        for session in list(self.watches.values()):
+        for session in list(self.sessions.values()):
             if session.id not in listed:
                 self._note_unlisted(session)
         current = self.restarts.current_incarnations(listed)
-        self._open_sessions([worker for worker in current if worker.id not in self.watches])
+        self._open_sessions([worker for worker in current if worker.id not in self.sessions])
         for worker in current:
-            known = self.watches.get(worker.id)
+            known = self.sessions.get(worker.id)
             if known is not None:
                 if known.load.worker.state is not worker.state:
                     log.info(
@@ -256,7 +256,7 @@
             session.starts.adopt(task, self.ownership.acquired_at)
         session.to_revoke = self.restarts.revoked_runs(worker, monotonic())
         self.pool.adopt_inherited(session.load)
-        self.watches[worker.id] = session
+        self.sessions[worker.id] = session
         self.spawn(session.run)
 
     def _has_next_incarnation(self, session: WorkerSession) -> bool:
@@ -276,11 +276,11 @@
         )
 
     def _session_of(self, task: Task) -> WorkerSession | None:
-        return self.watches.get(task.worker) if task.worker else None
+        return self.sessions.get(task.worker) if task.worker else None
 
     def drop_session(self, worker: WorkerId) -> None:
         """Drop the session of an ended incarnation."""
-        self.watches.pop(worker, None)
+        self.sessions.pop(worker, None)
 
     def _requeue_expired_starts(self, now: float) -> None:
         """Requeue tasks whose worker restarted and has not been seen since, once that is safe."""
@@ -308,9 +308,9 @@
             )
         for job in list(self.pool.jobs.values()):
             for task in job.tasks:
-                if task.worker and task.worker not in self.watches and not job.ended:
+                if task.worker and task.worker not in self.sessions and not job.ended:
                     self._requeue_lost(task, "worker not listed")
-        for worker in self.pool.inherited.keys() - self.watches.keys():
+        for worker in self.pool.inherited.keys() - self.sessions.keys():
             self.pool.resolve_inherited(worker)
         self.wake()
 
@@ -446,7 +446,7 @@
         if not self.pool.dirty:
             batch.acknowledged = [
                 (session, session.seen)
-                for session in self.watches.values()
+                for session in self.sessions.values()
                 if session.seen > session.recorded
             ]
         if not batch.writes:
@@ -477,8 +477,8 @@
         for session, number in batch.acknowledged:
             session.note_recorded(number)
         for task, run, worker in batch.starts:
-            if worker in self.watches:
-                self.spawn(self.watches[worker].starts.order, task, run)
+            if worker in self.sessions:
+                self.spawn(self.sessions[worker].starts.order, task, run)
             elif task.run == run and task.worker == worker:
                 self.pool.requeue(task)
         if self.pool.dirty or self.pool.limits.changed:
--- a/pumicespur/maintenance/__init__.py
+++ b/pumicespur/maintenance/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pumicespur.maintenance._fleet_leader import FleetHolder
-from pumicespur.maintenance._intents import FLEET, intent_age_s
+from pumicespur.maintenance._fleet_leader import FleetLeader
+from pumicespur.maintenance._intents import FLEET_ROLE, intent_validity_s
 
-__all__ = ["FLEET", "FleetHolder", "intent_age_s"]
+__all__ = ["FLEET_ROLE", "FleetLeader", "intent_validity_s"]
--- a/pumicespur/maintenance/_fleet_leader.py
+++ b/pumicespur/maintenance/_fleet_leader.py
@@ -16,8 +16,8 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.jobs import FILL_SHARE, Journal, OwnershipLostError
-from pumicespur.maintenance._intents import IntentLog, intent_age_s
+from pumicespur.jobs import TARGET_UTILIZATION_RATIO, Journal, OwnershipLostError
+from pumicespur.maintenance._intents import IntentLog, intent_validity_s
 from pumicespur.maintenance._peaks import min_peak_cpu_millis, reserved_sizes
 from pumicespur.maintenance._persisted_state import PersistedState
 from pumicespur.maintenance._rebalancing import PoolRebalancer, RebalanceInput
@@ -60,7 +60,7 @@
 """Time in which an instance finishes its short tasks before it moves; their mean duration."""
 
 
-class FleetHolder:
+class FleetLeader:
     """Fleet leader, for as long as this process owns that role."""
 
     def __init__(
@@ -71,7 +71,7 @@
         orders: FleetOrders,
         ownership: Ownership,
         predecessor_wait_s: float,
-        request_heartbeat: Callable[[], None],
+        request_report: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.view = view
@@ -83,7 +83,7 @@
             self.journal,
             ProcessId(settings.process.id),
             ownership.acquired_at + predecessor_wait_s,
-            intent_age_s(settings.fleet),
+            intent_validity_s(settings.fleet),
         )
         self.reports = FleetReports(view)
         self.wave_executor = WaveExecutor(
@@ -101,8 +101,8 @@
         self.moving: dict[InstanceId, tuple[PoolId, float]] = {}
         """Instances that are moving, with their target pool and the monotonic time of the order."""
         self.rejected_moves: set[tuple[InstanceId, PoolId]] = set()
-        self.request_heartbeat = request_heartbeat
-        """Requests a heartbeat at once."""
+        self.request_report = request_report
+        """Requests an immediate report to the other processes."""
         self.reported_evacuations: set[WorkerName] = set()
         self.ready = False
         self.stopping = False
@@ -138,7 +138,7 @@
         self.stopping = True
         await self.stopped.wait()
 
-    def evacuations(self) -> list[WorkerName]:
+    def workers_to_evacuate(self) -> list[WorkerName]:
         """Return the workers that their owners are to evacuate."""
         names = [*self.wave_executor.evacuating(), *self.rebalancer.evacuating]
         found = [self.instances[name].worker for name in names if name in self.instances]
@@ -168,9 +168,9 @@
         state = self._rebalance_input()
         self.needed_workers = state.needed
         plan = self.rebalancer.plan(state, now)
-        if set(self.evacuations()) != self.reported_evacuations:
-            self.reported_evacuations = set(self.evacuations())
-            self.request_heartbeat()
+        if set(self.workers_to_evacuate()) != self.reported_evacuations:
+            self.reported_evacuations = set(self.workers_to_evacuate())
+            self.request_report()
         await self.persisted.record()
         moves = [(name, pool) for name, pool in plan.moves if self.intents.may_order(name)]
         await self.intents.announce({name for name, _ in moves})
@@ -221,7 +221,9 @@
 
     def _workers_for(self, pool: PoolId, cpu_millis: int) -> int:
         """Return how many instances carry a demand, within the pool's growth limit."""
-        workers = math.ceil(cpu_millis / max(1, self._max_instance_cpu_millis()) / FILL_SHARE)
+        workers = math.ceil(
+            cpu_millis / max(1, self._max_instance_cpu_millis()) / TARGET_UTILIZATION_RATIO
+        )
         return self._limit_growth(pool, workers)
 
     def _is_move_over(self, name: InstanceId, pool: PoolId, since_s: float) -> bool:
--- a/pumicespur/maintenance/_intents.py
+++ b/pumicespur/maintenance/_intents.py
@@ -19,10 +19,10 @@
     from pumicespur.jobs import Journal
     from pumicespur.schema.node_pb import FleetSettings
 
-FLEET = PoolId("~fleet")
+FLEET_ROLE = PoolId("~fleet")
 """Id of the fleet leader's role where a pool's id is expected; no pool has this name."""
 
-INTENTS_KEY = f"waves/{FLEET}/intents"
+INTENTS_KEY = f"waves/{FLEET_ROLE}/intents"
 
 MAX_PROOF_AGE_S = 1.0
 """Max age of the last proof of leadership when an order is given."""
@@ -31,7 +31,7 @@
 """Added to the wait of a new fleet leader, for orders that arrive late."""
 
 
-def intent_age_s(settings: FleetSettings) -> float:
+def intent_validity_s(settings: FleetSettings) -> float:
     """Return for how long an intent matters to the next fleet leader, in seconds."""
     return settings.lease_ms / 1000 + MAX_PROOF_AGE_S + DELAYED_ORDER_MARGIN_S
 
@@ -39,13 +39,13 @@
 class IntentLog:
     """Order intents of this fleet leader and of the one before."""
 
-    def __init__(self, journal: Journal, process: ProcessId, orders_from: float, age_s: float):
+    def __init__(self, journal: Journal, process: ProcessId, orders_from: float, validity_s: float):
         self.journal = journal
         self.process = process
         self.orders_from = orders_from
         """Monotonic time from which the instances in the previous fleet leader's intents may get
-        orders, unless the age of an intent allows them earlier."""
-        self.age_s = age_s
+        orders, unless the validity of an intent allows them earlier."""
+        self.validity_s = validity_s
         """How long an intent matters to the next fleet leader, in seconds."""
         self.reserved: dict[InstanceId, float] = {}
         """Instances for which earlier fleet leaders may have just given orders, with the monotonic
@@ -80,7 +80,7 @@
             # An earlier incarnation of this process sends no more orders, and there was no other
             # leader whose orders could interleave with them, so the lease need not expire.
             return recorded_at + MAX_PROOF_AGE_S + DELAYED_ORDER_MARGIN_S
-        return min(self.orders_from, recorded_at + self.age_s)
+        return min(self.orders_from, recorded_at + self.validity_s)
 
     async def announce(self, names: set[InstanceId]) -> None:
         """Record the instances that get orders next; this also proves the leadership.
@@ -90,7 +90,7 @@
         now = monotonic()
         self.announced_at = now
         previous_count = len(self.recent)
-        while self.recent and now - self.recent[0][0] > self.age_s:
+        while self.recent and now - self.recent[0][0] > self.validity_s:
             self.recent.popleft()
         if not names and previous_count == len(self.recent):
             await self.journal.commit([])
--- a/pumicespur/maintenance/_persisted_state.py
+++ b/pumicespur/maintenance/_persisted_state.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from pumicespur.maintenance._intents import FLEET
+from pumicespur.maintenance._intents import FLEET_ROLE
 from pumicespur.maintenance._peaks import PeakHistory
 from pumicespur.maintenance._store_reads import read_with_retry
 from pumicespur.model import PoolId
@@ -18,7 +18,7 @@
     from pumicespur.jobs import Journal
     from pumicespur.model import Instance
 
-STATE_KEY = f"waves/{FLEET}/memory"
+STATE_KEY = f"waves/{FLEET_ROLE}/memory"
 
 
 class PersistedState:
--- a/pumicespur/maintenance/_wave_execution.py
+++ b/pumicespur/maintenance/_wave_execution.py
@@ -7,7 +7,7 @@
 from expression import Result
 from logbook import Logger
 
-from pumicespur.maintenance._intents import FLEET
+from pumicespur.maintenance._intents import FLEET_ROLE
 from pumicespur.maintenance._wave_progress import WaveProgress, choose_evacuations
 from pumicespur.model import InstanceId, InstanceState
 from pumicespur.platform import encode_wave_state, wave_state_key
@@ -188,4 +188,4 @@
 
 
 def _wave_key(number: int) -> str:
-    return f"waves/{FLEET}/{number}"
+    return f"waves/{FLEET_ROLE}/{number}"
--- a/pumicespur/node/_heartbeats.py
+++ b/pumicespur/node/_heartbeats.py
@@ -103,7 +103,7 @@
             process=self.me,
             incarnation=self.incarnation,
             data_hall=self.settings.process.data_hall,
-            capacity=self.settings.capacity,
+            capacity=self.settings.cpu_capacity,
             number=self.number,
             unfit=self.roles.stopping,
             configuration_version=max(0, self.view.configuration.version),
@@ -158,7 +158,7 @@
         record = DutyReport(
             process=self.me,
             pools=[owner.report() for owner in self.roles.pool_owners() if owner.ready],
-            evacuations=[] if leader is None else list(leader.evacuations()),
+            evacuations=[] if leader is None else list(leader.workers_to_evacuate()),
             fleet_token=0 if leader is None else leader.ownership.token,
             told_ms=clock.at_least_ms(now) if clock.known else 0,
         )
--- a/pumicespur/node/_owned_roles.py
+++ b/pumicespur/node/_owned_roles.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.jobs import PoolOwner
-from pumicespur.maintenance import FLEET, FleetHolder
+from pumicespur.maintenance import FLEET_ROLE, FleetLeader
 
 if TYPE_CHECKING:
     from pumicespur.model import PoolId
@@ -16,7 +16,7 @@
 class OwnedRoles:
     """The roles that this process holds, and the pools that it gave up."""
 
-    owned: dict[PoolId, PoolOwner | FleetHolder] = field(default_factory=dict)
+    owned: dict[PoolId, PoolOwner | FleetLeader] = field(default_factory=dict)
     given_up: dict[PoolId, int] = field(default_factory=dict)
     """Fencing tokens of pools that it owned and for which it renews no more leases."""
     stopping: bool = False
@@ -26,7 +26,7 @@
         return [owner for owner in self.owned.values() if isinstance(owner, PoolOwner)]
 
     @property
-    def fleet_leader(self) -> FleetHolder | None:
+    def fleet_leader(self) -> FleetLeader | None:
         """Return the fleet leader if it is this process."""
-        leader = self.owned.get(FLEET)
-        return leader if isinstance(leader, FleetHolder) else None
+        leader = self.owned.get(FLEET_ROLE)
+        return leader if isinstance(leader, FleetLeader) else None
--- a/pumicespur/node/_ownership_controller.py
+++ b/pumicespur/node/_ownership_controller.py
@@ -14,7 +14,7 @@
 from logbook import Logger
 
 from pumicespur.jobs import Ownership, PoolOwner, owner_key
-from pumicespur.maintenance import FLEET, FleetHolder, intent_age_s
+from pumicespur.maintenance import FLEET_ROLE, FleetLeader, intent_validity_s
 from pumicespur.model import PoolId, ProcessId
 from pumicespur.node._heartbeats import HeartbeatWriter
 from pumicespur.node._owned_roles import OwnedRoles
@@ -170,7 +170,7 @@
 
     def _required_roles(self) -> list[PoolId]:
         pools = self.view.pools()
-        return [*pools, FLEET] if pools and self.settings.fleet.address else pools
+        return [*pools, FLEET_ROLE] if pools and self.settings.fleet.address else pools
 
     async def _take_over(self, pool: PoolId, owner: SeenOwner) -> None:
         record = OwnerRecord(
@@ -197,11 +197,11 @@
 
     def _start_owner(self, pool: PoolId, previous: SeenOwner, token: int, now: float) -> None:
         ownership = Ownership(pool, token, self.incarnation, now)
-        owner: PoolOwner | FleetHolder
-        if pool == FLEET:
+        owner: PoolOwner | FleetLeader
+        if pool == FLEET_ROLE:
             # Wait until the previous leader's orders are older than the lease between leaders.
-            wait_s = intent_age_s(self.settings.fleet) if previous.token else 0.0
-            owner = FleetHolder(
+            wait_s = intent_validity_s(self.settings.fleet) if previous.token else 0.0
+            owner = FleetLeader(
                 self.settings,
                 self.view,
                 self.table,
@@ -227,7 +227,7 @@
         assert self.tasks is not None
         self.tasks.start_soon(self._run_owner, pool, owner)
 
-    async def _run_owner(self, pool: PoolId, owner: PoolOwner | FleetHolder) -> None:
+    async def _run_owner(self, pool: PoolId, owner: PoolOwner | FleetLeader) -> None:
         try:
             await owner.run()
         except Exception:
--- a/pumicespur/node/_predecessors.py
+++ b/pumicespur/node/_predecessors.py
@@ -57,7 +57,7 @@
             if previous.record.process != seen.heartbeat.process:
                 continue
             if _has_stopped_renewing(seen, pool, previous):
-                leases.shorten(now + self._max_lease_s())
+                leases.limit_last(now + self._max_lease_s())
 
     def _max_lease_s(self) -> float:
         workers = self.settings.workers
--- a/pumicespur/node/_process.py
+++ b/pumicespur/node/_process.py
@@ -12,13 +12,13 @@
 from logbook import Logger
 
 from pumicespur.jobs import (
-    PARTS_MAX_AGE_S,
+    MAX_ALLOTMENT_REPORT_AGE_S,
     JobService,
     PoolOwner,
-    count_accounts,
     describe_accounts,
-    describe_hold,
+    describe_limit_block,
     describe_progress,
+    update_account_metrics,
 )
 from pumicespur.listeners import bound_to
 from pumicespur.model import JobId, ProcessId
@@ -199,7 +199,7 @@
             METRICS.forget_accounts()
             for owner in self.controller.roles.pool_owners():
                 METRICS.owned.set({"pool": owner.pool.pool}, len(owner.pool.jobs))
-                count_accounts(owner.pool)
+                update_account_metrics(owner.pool)
             await anyio.sleep(GAUGE_INTERVAL_S)
 
     def _report_store_use(self) -> None:
@@ -226,7 +226,7 @@
             "owned": {
                 pool: {
                     "jobs": len(owner.pool.jobs),
-                    "workers": len(owner.watches),
+                    "workers": len(owner.sessions),
                     "accounts": describe_accounts(owner.pool),
                 }
                 for pool, owner in self.controller.roles.owned.items()
@@ -243,17 +243,17 @@
             lambda job: (
                 refused
                 if job is None
-                else describe_progress(name, *job) | self._describe_hold(JobId(name))
+                else describe_progress(name, *job) | self._describe_limit_block(JobId(name))
             )
         )
 
-    def _describe_hold(self, name: JobId) -> dict[str, object]:
+    def _describe_limit_block(self, name: JobId) -> dict[str, object]:
         """Describe how its account's limit holds back a job of a pool that this process owns."""
         for owner in self.controller.roles.pool_owners():
             job = owner.pool.jobs.get(name)
             if job is not None:
-                reports = self.view.fresh_reports(PARTS_MAX_AGE_S)
-                return describe_hold(owner.pool, job, reports)
+                reports = self.view.fresh_reports(MAX_ALLOTMENT_REPORT_AGE_S)
+                return describe_limit_block(owner.pool, job, reports)
         return {}
 
     def _on_operators_rows(self, rows: Sequence[Row], whole: bool) -> None:
--- a/pumicespur/node/_process_tracker.py
+++ b/pumicespur/node/_process_tracker.py
@@ -237,7 +237,7 @@
         if self.roles.fleet_leader is not None:
             self.roles.fleet_leader.wake()
         for owner in self.roles.pool_owners():
-            owner.hear_parts()
+            owner.apply_allotment_reports()
 
     def _apply_report(self, row: Row, now: float) -> None:
         report = DutyReport.from_binary(row.value)
--- a/pumicespur/node/_takeover_policy.py
+++ b/pumicespur/node/_takeover_policy.py
@@ -102,7 +102,7 @@
             for process, seen in self.view.processes.items()
             if self._is_alive(seen, now) and process not in stopping
         }
-        sizes.setdefault(self.me, self.settings.capacity)
+        sizes.setdefault(self.me, self.settings.cpu_capacity)
         counts = dict.fromkeys(sizes, 0)
         for other, owner in self.view.owners.items():
             process = ProcessId(owner.record.process)
--- a/pumicespur/operators/_status.py
+++ b/pumicespur/operators/_status.py
@@ -23,7 +23,7 @@
             size=pool.pool.size,
             assigned=pool.assigned,
             available=pool.available,
-            min_available=pool.minimum,
+            min_available=pool.min_available,
             buffer=pool.buffer(),
         )
         for name, pool in availability.pools.items()
--- a/pumicespur/planning/_availability.py
+++ b/pumicespur/planning/_availability.py
@@ -14,7 +14,7 @@
 
 from pumicespur.schema.fleet_pb import Assignment, FailureDomain, InstanceState, Pool
 from pumicespur.schema.platform_pb import Liveness
-from pumicespur.structure import Fleet, InstanceId, PoolId, minimum_available
+from pumicespur.structure import Fleet, InstanceId, PoolId, min_available_instances
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -33,9 +33,9 @@
     halls: Counter[str] = field(default_factory=Counter)
 
     @property
-    def minimum(self) -> int:
+    def min_available(self) -> int:
         """Availability budget: the min number of available instances."""
-        return minimum_available(self.pool)
+        return min_available_instances(self.pool)
 
     def max_single_loss(self) -> int:
         """Return how many available instances the loss of one failure domain could remove."""
@@ -51,7 +51,7 @@
 
     def buffer(self) -> int:
         """Return how many available instances exceed the budget."""
-        return self.available - self.minimum
+        return self.available - self.min_available
 
     def add(self, assignment: Assignment, change: int) -> None:
         """Add (`change` is 1) or remove (-1) an available instance."""
@@ -90,7 +90,7 @@
         if pool is None or assignment.instance not in self.available:
             return True
         pool.add(assignment, -1)
-        is_budget_kept = pool.available - pool.max_single_loss() >= pool.minimum
+        is_budget_kept = pool.available - pool.max_single_loss() >= pool.min_available
         pool.add(assignment, 1)
         return is_budget_kept
 
--- a/pumicespur/structure/__init__.py
+++ b/pumicespur/structure/__init__.py
@@ -17,7 +17,7 @@
     WaveId,
     task_id,
 )
-from pumicespur.structure._checks import check_declaration, minimum_available
+from pumicespur.structure._checks import check_declaration, min_available_instances
 from pumicespur.structure._fleet import Fleet, RevisionGapError
 from pumicespur.structure._sections import (
     SectionName,
@@ -44,7 +44,7 @@
     "WaveId",
     "changed_sections",
     "check_declaration",
-    "minimum_available",
+    "min_available_instances",
     "removed_sections",
     "sections_of",
     "task_id",
--- a/pumicespur/structure/_checks.py
+++ b/pumicespur/structure/_checks.py
@@ -23,7 +23,7 @@
 """Absorbs floating-point errors, such as 100 * 0.07 = 7.000000000000001, before rounding up."""
 
 
-def minimum_available(pool: Pool) -> int:
+def min_available_instances(pool: Pool) -> int:
     """Return how many instances of a pool must be available at any moment.
 
     A share is rounded up, so that the budget never asks for less than was declared.
@@ -85,7 +85,7 @@
         yield _finding(section, "min_available_share", "takes 0 when min_available is given")
     if pool.min_available > pool.size:
         yield _finding(section, "min_available", f"is above the size, {pool.size}")
-    elif pool.size and minimum_available(pool) == pool.size:
+    elif pool.size and min_available_instances(pool) == pool.size:
         text = "leaves no room for maintenance: no wave can ever start here"
         yield _finding(section, "min_available", text, Severity.WARNING)
 
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from pumicespur.schema.fleet_pb import Pool, Record
-from pumicespur.structure import SPARE_POOL, Fleet, minimum_available
+from pumicespur.structure import SPARE_POOL, Fleet, min_available_instances
 
 if TYPE_CHECKING:
     from standins.schema.standins_pb import BackendState, HistoryEvent, HistoryResponse
@@ -60,7 +60,7 @@
             self.full.add(name)
         if name not in self.full:
             return
-        minimum = minimum_available(pool)
+        minimum = min_available_instances(pool)
         seen = self.lowest.setdefault(name, LowestAvailability(up, minimum))
         seen.lowest = min(seen.lowest, up)
         seen.minimum = minimum
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -16,7 +16,7 @@
     WavePhase,
 )
 from pumicespur.schema.platform_pb import Liveness
-from pumicespur.structure import minimum_available
+from pumicespur.structure import min_available_instances
 from pumicespur.utils import replace_fields
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
             losses += [{b.instance for b in left if b.rack == a.rack} for a in left]
         case FailureDomain.DATA_HALL:
             losses += [{b.instance for b in left if b.data_hall == a.data_hall} for a in left]
-    return all(len(left) - len(loss) >= minimum_available(pool) for loss in losses)
+    return all(len(left) - len(loss) >= min_available_instances(pool) for loss in losses)
 
 
 def naive_decide(plan_input: PlanInput) -> Decision:
--- a/tests/test_account_report.py
+++ b/tests/test_account_report.py
@@ -7,9 +7,9 @@
 
 from pumicespur.jobs._account_report import (
     MAX_NAMED_ACCOUNTS,
-    count_accounts,
     describe_accounts,
-    describe_hold,
+    describe_limit_block,
+    update_account_metrics,
 )
 from pumicespur.model import AccountId, Capacity, ClientAccount
 from pumicespur.schema.jobs_pb import JobRecord, PartReport, PoolReport, StepRecord
@@ -46,14 +46,14 @@
     def test_series_are_bounded_and_old_ones_removed(self) -> None:
         for _ in range(2):
             METRICS.forget_accounts()
-            count_accounts(self.make(MAX_NAMED_ACCOUNTS + 7))
+            update_account_metrics(self.make(MAX_NAMED_ACCOUNTS + 7))
         self.assertEqual(MAX_NAMED_ACCOUNTS + 1, len(METRICS.account_cpu.values))
 
     def test_describes_a_job_blocked_by_a_limit(self) -> None:
         pool = self.make(1)
         job = next(iter(pool.jobs.values()))
         elsewhere = PartReport(account=job.account, held=400_000)
-        told = describe_hold(pool, job, {B: PoolReport(pool=B, parts=[elsewhere])})
+        told = describe_limit_block(pool, job, {B: PoolReport(pool=B, parts=[elsewhere])})
         held = told["held_by_limit"]
         assert isinstance(held, dict)
         self.assertEqual({"main": 1.0, "b": 0.4}, held["parts"])
--- a/tests/test_fleet_leader.py
+++ b/tests/test_fleet_leader.py
@@ -107,7 +107,7 @@
 
 
 MIN_PEAK = 16_000
-INTENT_AGE_S = 4.5
+INTENT_VALIDITY_S = 4.5
 PEAK = 90_000
 
 
@@ -234,7 +234,7 @@
     async def become_leader(self, process: str) -> IntentLog:
         """Start a fleet leader whose default wait is ten seconds."""
         log = IntentLog(
-            cast("Any", self.journal), ProcessId(process), monotonic() + 10.0, INTENT_AGE_S
+            cast("Any", self.journal), ProcessId(process), monotonic() + 10.0, INTENT_VALIDITY_S
         )
         await log.load()
         return log
@@ -251,7 +251,7 @@
         self.journal.clock.reading_ms += 3_000
         second = await self.become_leader("second")
         self.assertFalse(second.may_order(self.name))
-        self.assertLess(self.may_order_after(second), INTENT_AGE_S - 2.9)
+        self.assertLess(self.may_order_after(second), INTENT_VALIDITY_S - 2.9)
 
     async def test_intent_of_an_earlier_incarnation_expires_early(self) -> None:
         first = await self.become_leader("first")
@@ -266,7 +266,7 @@
         second = await self.become_leader("second")
         await second.announce({InstanceId("i-2")})
         third = await self.become_leader("second")
-        self.assertGreater(self.may_order_after(third), INTENT_AGE_S - 1.0)
+        self.assertGreater(self.may_order_after(third), INTENT_VALIDITY_S - 1.0)
 
     async def test_without_a_clock_the_default_wait_applies(self) -> None:
         self.journal.clock = StoreClock()
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -16,7 +16,7 @@
     Team,
     WaveProgress,
 )
-from pumicespur.structure import Fleet, RevisionGapError, minimum_available
+from pumicespur.structure import Fleet, RevisionGapError, min_available_instances
 
 NAMES = st.sampled_from(["a", "b", "c"])
 RECORDS = st.builds(
@@ -90,4 +90,4 @@
     def test_shares_round_up(self) -> None:
         for size, share, wanted in ((8, 0.75, 6), (7, 0.5, 4), (10, 0.3, 3), (3, 1.0, 3)):
             pool = Pool(size=size, min_available_share=share)
-            self.assertEqual(minimum_available(pool), wanted)
+            self.assertEqual(min_available_instances(pool), wanted)
