--- a/pumicespur/commands/run.py
+++ b/pumicespur/commands/run.py
@@ -9,7 +9,7 @@
 from pumicespur.config import format_finding, load_settings
 from pumicespur.processes import EntryProcess, ManagerProcess
 from pumicespur.schema.peer_pb import Role
-from pumicespur.utils import run_process, set_up_logs
+from pumicespur.utils import run_process, set_up_stderr_log
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -22,7 +22,7 @@
 def run(role: Role, path: Path) -> None:
     """Read the settings, then serve until a signal requests a stop."""
     settings, warnings = load_settings(path, role)
-    set_up_logs(settings.process.id, settings.process.log_level)
+    set_up_stderr_log(settings.process.id, settings.process.log_level)
     for finding in warnings:
         log.warning(format_finding(finding))
     run_process(_serve, role, settings)
--- a/pumicespur/jobs/_account_report.py
+++ b/pumicespur/jobs/_account_report.py
@@ -48,7 +48,7 @@
         labels = {"pool": pool.pool, "account": account}
         METRICS.account_cpu.set(labels, used.cpu_millis)
         if account in pool.limits.allotments:
-            METRICS.account_part.set(
+            METRICS.account_allotment.set(
                 labels, pool.limits.allotments[account].ledger.allotment / WHOLE_LIMIT
             )
     METRICS.account_cpu.set({"pool": pool.pool, "account": OTHERS}, others.cpu_millis)
--- a/pumicespur/jobs/_journal.py
+++ b/pumicespur/jobs/_journal.py
@@ -99,7 +99,7 @@
             match response:
                 case Result(tag="ok", ok=version):
                     self._confirm(version, sent_at)
-                    METRICS.commits.observe({}, monotonic() - started)
+                    METRICS.commit_latency.observe({}, monotonic() - started)
                     return
                 case Result(error=Conflict()):
                     applied = await self._applied_version(record)
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -173,7 +173,7 @@
                 self.tasks.cancel_scope.cancel()
         except* OwnershipLostError as lost:
             reason = str(lost.exceptions[0])
-            METRICS.lost.inc({})
+            METRICS.lost_pools.inc({})
             log.warning("pool lost", pool=self.pool.pool, token=self.token, reason=reason)
         finally:
             self.stopped.set()
@@ -326,7 +326,7 @@
             worker=worker,
             how=end.outcome.value,
         )
-        METRICS.tasks.inc({"pool": self.pool.pool, "how": end.outcome.value})
+        METRICS.task_ends.inc({"pool": self.pool.pool, "how": end.outcome.value})
         self.pool.note_end(worker, end, now)
         if task is not None and task.job.ended:
             log.info("job ended", job=task.job.id, phase=task.job.phase.name)
--- a/pumicespur/jobs/_worker_starts.py
+++ b/pumicespur/jobs/_worker_starts.py
@@ -92,13 +92,13 @@
             took_s=round(monotonic() - now, 3),
             **known.describe(now),
         )
-        METRICS.starts.inc({"pool": self.owner.pool.pool, "outcome": _outcome(response)})
-        METRICS.belief_ages.observe({"table": "workers"}, known.workers.age_s(now))
-        METRICS.belief_ages.observe({"table": "submissions"}, known.submissions.age_s(now))
+        METRICS.task_starts.inc({"pool": self.owner.pool.pool, "outcome": _outcome(response)})
+        METRICS.known_state_ages.observe({"table": "workers"}, known.workers.age_s(now))
+        METRICS.known_state_ages.observe({"table": "submissions"}, known.submissions.age_s(now))
         self._apply_response(task, run, response, now)
 
     def _undo(self, task: Task, run: int, reason: str) -> None:
-        METRICS.starts_undone.inc({"pool": self.owner.pool.pool, "reason": reason})
+        METRICS.withdrawn_starts.inc({"pool": self.owner.pool.pool, "reason": reason})
         self.requeue_if_unchanged(task, run, reason)
 
     async def _send(self, task: Task, run: int, deadline_ms: int) -> StartResponse:
--- a/pumicespur/listeners/__init__.py
+++ b/pumicespur/listeners/__init__.py
@@ -2,6 +2,6 @@
 
 from __future__ import annotations
 
-from pumicespur.listeners._listeners import bound_to, listen_at
+from pumicespur.listeners._listeners import bound_address, start_server
 
-__all__ = ["bound_to", "listen_at"]
+__all__ = ["bound_address", "start_server"]
--- a/pumicespur/listeners/_listeners.py
+++ b/pumicespur/listeners/_listeners.py
@@ -17,7 +17,7 @@
 """Idle time after which a connection is closed; longer than callers keep an idle connection."""
 
 
-async def listen_at(
+async def start_server(
     address: str, handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 ) -> web.ServerRunner:
     """Start a server at an IP address and port; port 0 selects a free port."""
@@ -28,7 +28,7 @@
     return runner
 
 
-def bound_to(runner: web.BaseRunner) -> str:
+def bound_address(runner: web.BaseRunner) -> str:
     """Return the IP address and port at which a runner serves."""
     host, port = runner.addresses[0][:2]
     return f"{host}:{port}"
--- a/pumicespur/node/_inspection.py
+++ b/pumicespur/node/_inspection.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from pumicespur.listeners import listen_at
+from pumicespur.listeners import start_server
 from pumicespur.utils import METRICS
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     async def respond(request: web.BaseRequest) -> web.StreamResponse:
         match request.path:
             case "/metrics":
-                content, headers = METRICS.page()
+                content, headers = METRICS.render_page()
                 return web.Response(body=content, headers=headers)
             case "/state":
                 return _as_json(process.describe())
@@ -44,7 +44,7 @@
             case _:
                 return web.Response(status=404)
 
-    return await listen_at(address, respond)
+    return await start_server(address, respond)
 
 
 async def _respond_with_job(process: InspectedProcess, name: str) -> web.StreamResponse:
--- a/pumicespur/node/_process.py
+++ b/pumicespur/node/_process.py
@@ -20,7 +20,7 @@
     describe_progress,
     update_account_metrics,
 )
-from pumicespur.listeners import bound_to
+from pumicespur.listeners import bound_address
 from pumicespur.model import JobId, ProcessId
 from pumicespur.node._inspection import serve_inspection
 from pumicespur.node._ownership_controller import OwnershipController
@@ -145,7 +145,7 @@
             if settings.listen.metrics:
                 inspection = await serve_inspection(settings.listen.metrics, self)
                 self.server.runners.append(inspection)
-                bound["metrics"] = bound_to(inspection)
+                bound["metrics"] = bound_address(inspection)
             log.info(
                 "process started",
                 process_id=os.getpid(),
@@ -194,11 +194,15 @@
         """Update the gauges until cancelled."""
         while True:
             self._report_store_use()
-            METRICS.configuration.set({"which": "in force"}, self.view.configuration.version)
-            METRICS.configuration.set({"which": "newest heard"}, self.view.newest_known_version())
-            METRICS.forget_accounts()
+            METRICS.configuration_version.set(
+                {"which": "in force"}, self.view.configuration.version
+            )
+            METRICS.configuration_version.set(
+                {"which": "newest heard"}, self.view.newest_known_version()
+            )
+            METRICS.clear_accounts()
             for owner in self.controller.roles.pool_owners():
-                METRICS.owned.set({"pool": owner.pool.pool}, len(owner.pool.jobs))
+                METRICS.owned_jobs.set({"pool": owner.pool.pool}, len(owner.pool.jobs))
                 update_account_metrics(owner.pool)
             await anyio.sleep(GAUGE_INTERVAL_S)
 
--- a/pumicespur/operators/_service.py
+++ b/pumicespur/operators/_service.py
@@ -175,7 +175,7 @@
             raise ConnectError(Code.NOT_FOUND, f"process: no such process {request.process!r}")
         try:
             peer_request = PeerRequest(dump=DumpRequest())
-            reply = await self.peers.ask(member.peer_address, peer_request)
+            reply = await self.peers.send_request(member.peer_address, peer_request)
         except pynng.NNGException as failure:
             text = f"process: {request.process} does not answer: {failure}"
             raise ConnectError(Code.UNAVAILABLE, text) from failure
--- a/pumicespur/peers/_links.py
+++ b/pumicespur/peers/_links.py
@@ -73,9 +73,9 @@
         self.replica = replica
         self.dump = dump
         self.stopping = False
-        self.heard_at: dict[str, float] = {}
+        self.last_heartbeat_at: dict[str, float] = {}
         """When each process last sent a heartbeat, in monotonic seconds."""
-        self.bytes = 0
+        self.transferred_bytes = 0
         """Total size of all messages sent and received, without the overhead of TCP."""
         self._listener = pynng.Rep0(recv_max_size=MAX_MESSAGE_BYTES)
         bound = self._listener.listen(f"tcp://{settings.peer_listen}")
@@ -91,7 +91,7 @@
         finally:
             self._listener.close()
 
-    async def ask(self, address: str, request: PeerRequest) -> PeerReply:
+    async def send_request(self, address: str, request: PeerRequest) -> PeerReply:
         """Send one request to a peer; raise pynng.NNGException if it does not respond."""
         with open_request_socket(address) as socket:
             return await self._exchange(socket, request)
@@ -101,7 +101,7 @@
             while True:
                 content = await context.arecv()
                 reply = self._handle_request(content).to_binary()
-                self.bytes += len(content) + len(reply)
+                self.transferred_bytes += len(content) + len(reply)
                 await context.asend(reply)
 
     def _handle_request(self, content: bytes) -> PeerReply:
@@ -125,7 +125,7 @@
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatReply:
         if heartbeat.sender is not None:
             self.members.note_heartbeat(heartbeat.sender)
-            self.heard_at[heartbeat.sender.id] = monotonic()
+            self.last_heartbeat_at[heartbeat.sender.id] = monotonic()
         return HeartbeatReply(id=self.members.own_member.id, revision=self.replica.revision)
 
     async def _keep_links(self) -> None:
@@ -196,5 +196,5 @@
         content = request.to_binary()
         await socket.asend(content)
         reply = await socket.arecv()
-        self.bytes += len(content) + len(reply)
+        self.transferred_bytes += len(content) + len(reply)
         return PeerReply.from_binary(reply)
--- a/pumicespur/peers/_members.py
+++ b/pumicespur/peers/_members.py
@@ -51,7 +51,7 @@
         self.members[member.id] = member
         self._versions.setdefault(member.id, (0, monotonic()))
 
-    async def keep(self) -> None:
+    async def maintain(self) -> None:
         """Refresh this process's row and read all rows, until cancelled."""
         while True:
             await self._refresh()
--- a/pumicespur/planning/_planner.py
+++ b/pumicespur/planning/_planner.py
@@ -81,8 +81,10 @@
         """Run a round at every tick, and at once when the state changes."""
         while True:
             changed = self.replica.changed
-            await self.observe(self.settings.tick_s if self.lease.held else STANDBY_LIST_INTERVAL_S)
-            if self.lease.held:
+            await self.observe(
+                self.settings.tick_s if self.lease.is_held else STANDBY_LIST_INTERVAL_S
+            )
+            if self.lease.is_held:
                 await self._round()
             else:
                 self.dispatcher = OrderDispatcher(self.platform)
@@ -99,7 +101,7 @@
                 self.listing = listing
                 self._observed_at = monotonic()
                 self._note_missing()
-        if self.lease.held:
+        if self.lease.is_held:
             await self._observe_usage()
 
     async def _observe_usage(self) -> None:
@@ -134,7 +136,7 @@
                 await self._dispatch_orders()
                 await self._save_snapshot()
             case Result(error=Conflict()):
-                self.lease.lose()
+                self.lease.note_lost()
             case Result(error=error):
                 log.warning("decision not committed", epoch=self.lease.epoch, fault=str(error))
 
@@ -172,7 +174,7 @@
         self._note_idle(fleet, decision)
         record = decision.record()
         if record is not None:
-            record.author = self.lease.me
+            record.author = self.lease.process_id
             record.epoch = self.lease.epoch
         return record
 
@@ -206,7 +208,7 @@
 
     async def _save_snapshot(self) -> None:
         revision = self.replica.revision
-        await self.retention.sweep_records(self._saved_revision)
+        await self.retention.delete_old_records(self._saved_revision)
         if revision - self._saved_revision < self.settings.snapshot_every:
             return
         snapshot = self.replica.fleet.snapshot()
--- a/pumicespur/platform/_callers.py
+++ b/pumicespur/platform/_callers.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 from logbook import Logger
 
-from pumicespur.listeners import bound_to, listen_at
+from pumicespur.listeners import bound_address, start_server
 from pumicespur.model import (
     ANONYMOUS_ACCOUNT,
     AccountId,
@@ -151,9 +151,9 @@
             ("callers", callers, self._serve_caller),
             ("readiness", readiness, self._serve_readiness),
         ):
-            runner = await listen_at(address, handler)
+            runner = await start_server(address, handler)
             self.runners.append(runner)
-            bound[name] = bound_to(runner)
+            bound[name] = bound_address(runner)
         return bound
 
     async def aclose(self) -> None:
@@ -173,7 +173,7 @@
             response = await self._handle(request)
         finally:
             self.in_flight -= 1
-            METRICS.callers.observe({"method": request.method}, monotonic() - started_at)
+            METRICS.caller_latency.observe({"method": request.method}, monotonic() - started_at)
         if self.context.is_stopping():
             response.force_close()
         return response
--- a/pumicespur/platform/_table.py
+++ b/pumicespur/platform/_table.py
@@ -323,7 +323,7 @@
 
 def _log_failed_read(kind: str, table: str, transfer: Transfer, error: Fault) -> None:
     """Log a failed read; received bytes tell a slow link from a dead connection."""
-    METRICS.broken_off.inc({"kind": kind, "receiving": str(transfer.received_bytes > 0).lower()})
+    METRICS.failed_reads.inc({"kind": kind, "receiving": str(transfer.received_bytes > 0).lower()})
     log.info(
         "store read failed",
         kind=kind,
--- a/pumicespur/processes/_entry.py
+++ b/pumicespur/processes/_entry.py
@@ -11,7 +11,7 @@
 from pumicespur.routing import ClaimWriter, Dispatcher, EntryApp, RoutingTable
 from pumicespur.schema.peer_pb import Role
 from pumicespur.servers import bound_address, hypercorn_config, listen, serve_app
-from pumicespur.utils import announce
+from pumicespur.utils import print_addresses
 
 if TYPE_CHECKING:
     from pumicespur.config import Settings
@@ -43,7 +43,7 @@
             tasks.start_soon(self.table.follow_replica)
             tasks.start_soon(self.table.follow_instance_list)
             tasks.start_soon(self._serve)
-            announce(**self.addresses())
+            print_addresses(**self.addresses())
             await self.stop.wait()
             await self._finish()
             tasks.cancel_scope.cancel()
--- a/pumicespur/processes/_manager.py
+++ b/pumicespur/processes/_manager.py
@@ -14,7 +14,7 @@
 from pumicespur.servers import bound_address, hypercorn_config, listen, serve_app
 from pumicespur.state import Lease, Retention
 from pumicespur.structure import ProcessId
-from pumicespur.utils import announce
+from pumicespur.utils import print_addresses
 
 if TYPE_CHECKING:
     from pumicespur.config import Settings
@@ -39,11 +39,11 @@
         """Serve until a planned stop."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.run_shared)
-            tasks.start_soon(self.lease.keep)
+            tasks.start_soon(self.lease.maintain)
             tasks.start_soon(self.planner.run)
             tasks.start_soon(self.retention.run)
             tasks.start_soon(self._serve)
-            announce(**self.addresses())
+            print_addresses(**self.addresses())
             await self.stop.wait()
             self.stopping = True
             with anyio.move_on_after(self.settings.platform.timeout_s):
@@ -70,7 +70,7 @@
         """Return the process's state."""
         return super().describe() | {
             "lease": {
-                "held": self.lease.held,
+                "held": self.lease.is_held,
                 "holder": self.lease.holder,
                 "epoch": self.lease.epoch,
             },
@@ -82,7 +82,7 @@
     def measure(self) -> dict[str, float]:
         """Return the values of the metrics page by metric name."""
         values = super().measure() | {
-            "lease_held": float(self.lease.held),
+            "lease_held": float(self.lease.is_held),
             "lease_epoch": self.lease.epoch,
             "planning_rounds_total": self.planner.rounds,
             "decide_seconds": self.planner.decide_s,
--- a/pumicespur/processes/_process.py
+++ b/pumicespur/processes/_process.py
@@ -57,7 +57,7 @@
             await tasks.start(stop_on_signals, self.stop, self.dump)
             task_status.started()
             tasks.start_soon(self.replica.follow, self.settings.process.poll_s)
-            tasks.start_soon(self.members.keep)
+            tasks.start_soon(self.members.maintain)
             tasks.start_soon(self.peers.run)
             tasks.start_soon(serve_app, self.admin, hypercorn_config(self.admin_socket))
 
@@ -91,12 +91,12 @@
                 "reads": self.platform.reads,
                 "writes": self.platform.writes,
             },
-            "peer_bytes": self.peers.bytes,
+            "peer_bytes": self.peers.transferred_bytes,
             "members": {
                 member.id: {
                     "role": member.role.name.lower(),
                     "peer_address": member.peer_address,
-                    "heard_s_ago": now - self.peers.heard_at.get(member.id, float("-inf")),
+                    "heard_s_ago": now - self.peers.last_heartbeat_at.get(member.id, float("-inf")),
                 }
                 for member in self.members.members.values()
             },
@@ -128,7 +128,7 @@
             "store_silent_seconds": self.platform.last_response_age_s(),
             "store_reads_total": self.platform.reads,
             "store_writes_total": self.platform.writes,
-            "peer_bytes_total": self.peers.bytes,
+            "peer_bytes_total": self.peers.transferred_bytes,
             "members": len(self.members.members),
             "stopping": float(self.stopping),
         }
--- a/pumicespur/state/_lease.py
+++ b/pumicespur/state/_lease.py
@@ -42,7 +42,7 @@
 
     def __init__(self, platform: PlatformClient, holder: ProcessId, lease_s: float) -> None:
         self.platform = platform
-        self.me = holder
+        self.process_id = holder
         self.lease_s = lease_s
         self.state = LeaseState.WAITING
         self.holder = ""
@@ -55,7 +55,7 @@
         self._renewed_at = float("-inf")
 
     @property
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """Whether this process holds the lease, judged without asking the table service."""
         unexpired = monotonic() - self._renewed_at < self.lease_s
         return self.state is LeaseState.HELD and unexpired
@@ -64,14 +64,14 @@
         """Return the condition that fences appends: the lease row has not changed."""
         return Condition(LEASE_KEY, self._lease.version)
 
-    def lose(self) -> None:
+    def note_lost(self) -> None:
         """Note that another process has taken the lease over, as an append or renewal showed."""
         if self.state is LeaseState.HELD:
             log.warning("planner lease lost", epoch=self.epoch)
         self.state = LeaseState.WAITING
         self._renewal_seen_at = monotonic()
 
-    async def keep(self) -> None:
+    async def maintain(self) -> None:
         """Acquire the lease when it is free and renew it while it is held; runs until cancelled."""
         while True:
             if self.state is LeaseState.HELD:
@@ -82,12 +82,12 @@
 
     async def _renew(self) -> None:
         started_at = monotonic()
-        transaction = Transaction([self.fence()], [Write(RENEWAL_KEY, self.me.encode())])
+        transaction = Transaction([self.fence()], [Write(RENEWAL_KEY, self.process_id.encode())])
         match await self.platform.transact(transaction):
             case Result(tag="ok"):
                 self._renewed_at = started_at
             case Result(error=error) if "keys" in vars(error):
-                self.lose()
+                self.note_lost()
             case Result(error=error):
                 log.warning("can't renew the planner lease", epoch=self.epoch, fault=str(error))
 
@@ -101,7 +101,7 @@
                 # No renewal can be seen while the table service fails: restart the wait for expiry.
                 self._renewal_seen_at = monotonic()
                 return
-        if self.holder == self.me or self._is_expired() or not lease.version:
+        if self.holder == self.process_id or self._is_expired() or not lease.version:
             await self._take_over()
 
     def _note_rows(self, lease: Row, renewal: Row) -> None:
@@ -121,20 +121,20 @@
     async def _take_over(self) -> None:
         started_at = monotonic()
         epoch = Epoch(self.epoch + 1)
-        value = json.dumps({"holder": self.me, "epoch": epoch}).encode()
+        value = json.dumps({"holder": self.process_id, "epoch": epoch}).encode()
         transaction = Transaction(
             [
                 Condition(LEASE_KEY, self._lease.version),
                 Condition(RENEWAL_KEY, self._renewal.version),
             ],
-            [Write(LEASE_KEY, value), Write(RENEWAL_KEY, self.me.encode())],
+            [Write(LEASE_KEY, value), Write(RENEWAL_KEY, self.process_id.encode())],
         )
         match await self.platform.transact(transaction):
             case Result(tag="ok", ok=[version, renewal_version]):
                 self._lease = Row(LEASE_KEY, value, version)
                 self._renewal = Row(RENEWAL_KEY, b"", renewal_version)
                 self.epoch = epoch
-                self.holder = self.me
+                self.holder = self.process_id
                 self.state = LeaseState.HELD
                 self._renewed_at = started_at
                 log.info("planner lease acquired", epoch=epoch)
--- a/pumicespur/state/_retention.py
+++ b/pumicespur/state/_retention.py
@@ -42,7 +42,7 @@
         """Delete old claims page by page, until cancelled."""
         while True:
             await anyio.sleep(PAGE_INTERVAL_S)
-            if self.lease.held:
+            if self.lease.is_held:
                 await self.delete_old_claims()
 
     async def delete_old_claims(self) -> None:
@@ -56,7 +56,7 @@
         oldest_ms = now_ms() - self.settings.claim_retention_h * HOUR_MS
         await self._delete([row for row in rows if Claim.from_binary(row.value).at_ms < oldest_ms])
 
-    async def sweep_records(self, snapshot_revision: int) -> None:
+    async def delete_old_records(self, snapshot_revision: int) -> None:
         """Delete records covered by a stored snapshot, except the newest `MIN_RETAINED_RECORDS`."""
         last = snapshot_revision - MIN_RETAINED_RECORDS
         if last <= self._deleted_up_to:
--- a/pumicespur/utils/_metrics.py
+++ b/pumicespur/utils/_metrics.py
@@ -15,9 +15,13 @@
     def __init__(self) -> None:
         self.registry = Registry()
         self.jobs = Counter("pumicespur_jobs_total", "Submitted jobs by outcome.")
-        self.tasks = Counter("pumicespur_task_ends_total", "Ended runs by pool and how they ended.")
-        self.starts = Counter("pumicespur_task_starts_total", "Ordered starts by pool and outcome.")
-        self.starts_undone = Counter(
+        self.task_ends = Counter(
+            "pumicespur_task_ends_total", "Ended runs by pool and how they ended."
+        )
+        self.task_starts = Counter(
+            "pumicespur_task_starts_total", "Ordered starts by pool and outcome."
+        )
+        self.withdrawn_starts = Counter(
             "pumicespur_task_starts_undone_total",
             "Placed starts that were not ordered, by pool and what had come to speak against them.",
         )
@@ -25,69 +29,69 @@
             "pumicespur_runs_lost_total", "Runs that were lost with their worker, by pool."
         )
         self.takeovers = Counter("pumicespur_takeovers_total", "Pools taken by this process.")
-        self.lost = Counter("pumicespur_pools_lost_total", "Pools that another process took.")
+        self.lost_pools = Counter("pumicespur_pools_lost_total", "Pools that another process took.")
         self.store_calls = Gauge("pumicespur_store_calls", "Calls to the store, by table.")
         self.store_bytes = Gauge(
             "pumicespur_store_bytes", "Bytes sent to and received from the store, by table."
         )
-        self.owned = Gauge("pumicespur_owned_jobs", "Open jobs of the pools owned, by pool.")
+        self.owned_jobs = Gauge("pumicespur_owned_jobs", "Open jobs of the pools owned, by pool.")
         self.account_cpu = Gauge(
             "pumicespur_account_cpu_millis",
             "What accounts have running in the pools owned, by pool and account; the rest summed.",
         )
-        self.account_part = Gauge(
+        self.account_allotment = Gauge(
             "pumicespur_account_part",
             "Share of its limit that a pool holds for an account, by pool and account.",
         )
         self.refused_keys = Counter(
             "pumicespur_refused_keys_total", "Calls refused for their key, by why."
         )
-        self.broken_off = Counter(
+        self.failed_reads = Counter(
             "pumicespur_readings_broken_off_total",
             "Readings of the store without an answer, by whether bytes were coming.",
         )
-        self.configuration = Gauge(
+        self.configuration_version = Gauge(
             "pumicespur_configuration_version", "Configuration in force, and newest heard of."
         )
-        self.commits = Histogram(
+        self.commit_latency = Histogram(
             "pumicespur_commit_seconds", "Time until a commit is recorded.", buckets=BUCKETS_S
         )
-        self.belief_ages = Histogram(
+        self.known_state_ages = Histogram(
             "pumicespur_start_belief_age_seconds",
             "Age of what a start rested on when it was ordered, by table.",
             buckets=BUCKETS_S,
         )
-        self.callers = Histogram(
+        self.caller_latency = Histogram(
             "pumicespur_caller_seconds", "Time until a caller is answered.", buckets=BUCKETS_S
         )
         for series in (
             self.jobs,
-            self.tasks,
-            self.starts,
-            self.starts_undone,
+            self.task_ends,
+            self.task_starts,
+            self.withdrawn_starts,
             self.runs_lost,
             self.takeovers,
-            self.lost,
+            self.lost_pools,
             self.store_calls,
             self.store_bytes,
-            self.owned,
+            self.owned_jobs,
             self.account_cpu,
-            self.account_part,
+            self.account_allotment,
             self.refused_keys,
-            self.broken_off,
-            self.configuration,
-            self.commits,
-            self.belief_ages,
-            self.callers,
+            self.failed_reads,
+            self.configuration_version,
+            self.commit_latency,
+            self.known_state_ages,
+            self.caller_latency,
         ):
             self.registry.register(series)
 
-    def forget_accounts(self) -> None:
+    def clear_accounts(self) -> None:
         """Drop the series of all accounts, so that only accounts that are set again remain."""
-        for series in (self.account_cpu, self.account_part):
+        for series in (self.account_cpu, self.account_allotment):
             series.values.store.clear()
 
-    def page(self) -> tuple[bytes, dict[str, str]]:
+    def render_page(self) -> tuple[bytes, dict[str, str]]:
         """Return the metrics page as text, and its HTTP headers."""
         content, headers = render(self.registry, ["text/plain"])
         return content, headers
--- a/pumicespur/utils/_processes.py
+++ b/pumicespur/utils/_processes.py
@@ -17,7 +17,7 @@
 log = Logger(__name__)
 
 
-def announce(**addresses: str) -> None:
+def print_addresses(**addresses: str) -> None:
     """Print one JSON line with the process's id, role and addresses."""
     print(json.dumps(addresses), flush=True)
 
--- a/pumicespur/utils/_stderr_log.py
+++ b/pumicespur/utils/_stderr_log.py
@@ -34,7 +34,7 @@
         return json.dumps(fields, default=str)
 
 
-def set_up_logs(process: str, level: str) -> Handler:
+def set_up_stderr_log(process: str, level: str) -> Handler:
     """Write all log lines to standard error from now on."""
     handler = JsonHandler(process, level)
     handler.push_application()
--- a/standins/hosted/_serving.py
+++ b/standins/hosted/_serving.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from pumicespur.listeners import bound_to
+from pumicespur.listeners import bound_address
 
 SHUTDOWN_TIMEOUT_S = 0.05
 """Time for open requests to finish on close; those that a fault leaves unanswered never would."""
@@ -23,7 +23,7 @@
         """Listen on a loopback port, by default on a free one."""
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", port, reuse_address=True).start()
-        self.address = bound_to(self.runner)
+        self.address = bound_address(self.runner)
 
     async def close(self) -> None:
         """Close all connections and accept no more.
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -9,13 +9,13 @@
 from pumicespur.utils import BootTimeEventLoop
 
 
-class SteadyEventLoopPolicy(asyncio.DefaultEventLoopPolicy):
+class BootTimeEventLoopPolicy(asyncio.DefaultEventLoopPolicy):
     """Event loop policy that gives tests the program's own event loop, with its clock."""
 
     _loop_factory = BootTimeEventLoop
 
 
-asyncio.set_event_loop_policy(SteadyEventLoopPolicy())
+asyncio.set_event_loop_policy(BootTimeEventLoopPolicy())
 
 # Property-based tests have no time limits: the first example in a fresh checkout reads all sources,
 # which takes seconds on a busy machine.
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -152,7 +152,7 @@
 
         async def is_held() -> bool:
             await lease._check()
-            return lease.held
+            return lease.is_held
 
         await wait_until(is_held, "the lease")
 
@@ -162,7 +162,7 @@
         for _ in range(8):
             await first._renew()
             await second._check()
-            self.assertFalse(second.held)
+            self.assertFalse(second.is_held)
             await anyio.sleep(LEASE_S / 4)
 
     async def test_a_former_holder_cannot_append(self) -> None:
@@ -191,14 +191,14 @@
         await planner._round()
         authors = [record.author for record in await self.orders.records()]
         self.assertNotIn("a", authors)
-        self.assertFalse(first.held)
+        self.assertFalse(first.is_held)
 
     async def test_a_takeover_whose_response_was_lost_is_repeated(self) -> None:
         self.call_timeout_s = FAULT_TIMEOUT_S
         lease = self.lease("a")
         await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=1)
         await lease._check()
-        self.assertFalse(lease.held)
+        self.assertFalse(lease.is_held)
         await self.acquire(lease)
         self.assertEqual(lease.epoch, 2)
 
