--- a/soak/_checker.py
+++ b/soak/_checker.py
@@ -167,7 +167,7 @@
 
         The unit is thousandths of a core.
         """
-        capacities = self.world.rooms[worker]
+        capacities = self.world.capacities[worker]
         if self.injector.fault_free_since(at) > at - CAPACITY_UPDATE_TIMEOUT_S:
             return max(cpu_millis for _, cpu_millis in capacities)
         since = max(
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -54,7 +54,7 @@
 TRANSACTION = _journal.Journal._transaction
 APPLY_STATUS = _worker_session.WorkerSession._apply_status
 ADD_WORKER = _pool.PoolState.add_worker
-ROOMS: dict[Any, Any] = {}
+FIRST_CAPACITIES: dict[Any, Any] = {}
 SUBMIT = _service.JobService.submit
 DROP_WORKER = _pool.PoolState.drop_worker
 AUTHENTICATE = _callers.CallerServer._authenticate
@@ -70,7 +70,7 @@
     self.recorded = self.acknowledged = self.seen
 
 
-async def _accept_whatever(self: _service.JobService, *arguments: Any) -> Any:
+async def _report_unknown_as_accepted(self: _service.JobService, *arguments: Any) -> Any:
     outcome = await SUBMIT(self, *arguments)
     unknown = outcome is _service.SubmissionOutcome.UNKNOWN
     return _service.SubmissionOutcome.ACCEPTED if unknown else outcome
@@ -81,11 +81,11 @@
     self.requeue_if_unchanged(task, start.run, "start did not arrive")
 
 
-def _drop_all(self: _pool.PoolState, worker: Any, keep: Any = ()) -> None:
+def _drop_worker_and_all_starts(self: _pool.PoolState, worker: Any, keep: Any = ()) -> None:
     DROP_WORKER(self, worker)
 
 
-def _check_at_hand_in(self: _callers.CallerServer, request: Any, *arguments: Any) -> Any:
+def _check_key_on_submit_only(self: _callers.CallerServer, request: Any, *arguments: Any) -> Any:
     return (
         AUTHENTICATE(self, request, *arguments) if request.method == "POST" else ANONYMOUS_ACCOUNT
     )
@@ -96,7 +96,7 @@
     return AUTHENTICATE(self, request, *arguments)
 
 
-def _break_off(self: _table.PlatformTable) -> None:
+def _abort_reads(self: _table.PlatformTable) -> None:
     for read in list(self.pending_reads):
         read.give_up()
 
@@ -111,17 +111,17 @@
         case Mutant.LEASES_NOT_WAITED_OUT:
             _replace(_lease.WorkerLease, "expires_at", lambda self: 0.0)
         case Mutant.LOST_ANSWERS_COUNT_AS_ACCEPTED:
-            _replace(_service.JobService, "submit", _accept_whatever)
+            _replace(_service.JobService, "submit", _report_unknown_as_accepted)
         case Mutant.UNANSWERED_STARTS_FORGOTTEN:
             _replace(_worker_starts.WorkerStarts, "_revoke", _forget_start)
         case Mutant.BUDGETS_IGNORED:
             _replace(_availability, "count_unavailable_others", lambda *arguments: 0)
         case Mutant.READINGS_BROKEN_OFF:
-            _replace(_table.PlatformTable, "renew_pending_reads", _break_off)
+            _replace(_table.PlatformTable, "renew_pending_reads", _abort_reads)
         case Mutant.LOSSES_FORGOTTEN:
             _replace(_pool, "exceeds_loss_limit", lambda task: False)
         case Mutant.KEYS_CHECKED_AT_HAND_IN:
-            _replace(_callers.CallerServer, "_authenticate", _check_at_hand_in)
+            _replace(_callers.CallerServer, "_authenticate", _check_key_on_submit_only)
         case Mutant.KEYS_LOGGED:
             _replace(_callers.CallerServer, "_authenticate", _log_key)
         case Mutant.LIMITS_IGNORED:
@@ -135,15 +135,15 @@
         case Mutant.LEAVING_NOT_ASKED_AGAIN:
             _replace(_worker_starts.WorkerStarts, "_reason_to_withhold", lambda *arguments: "")
         case Mutant.OPEN_STARTS_FORGOTTEN:
-            _replace(_pool.PoolState, "drop_worker", _drop_all)
+            _replace(_pool.PoolState, "drop_worker", _drop_worker_and_all_starts)
         case Mutant.ROOM_NOT_READ_AGAIN:
-            _replace(_pool.PoolState, "add_worker", _keep_first_room)
+            _replace(_pool.PoolState, "add_worker", _keep_first_capacity)
         case Mutant.CHANGES_REPLAYED:
             _replace(_table_follower.TableFollower, "_should_rescan", lambda *arguments: False)
 
 
-def _keep_first_room(self: _pool.PoolState, worker: Any) -> Any:
-    first = ROOMS.setdefault(worker.id, worker.capacity)
+def _keep_first_capacity(self: _pool.PoolState, worker: Any) -> Any:
+    first = FIRST_CAPACITIES.setdefault(worker.id, worker.capacity)
     return ADD_WORKER(self, replace(worker, capacity=first))
 
 
--- a/standins/hosted/_workers.py
+++ b/standins/hosted/_workers.py
@@ -89,7 +89,7 @@
     rack: str
     history: list[Run]
     cpu: int = WORKER_CPU
-    rooms: list[tuple[float, int]] = field(default_factory=lambda: [(0.0, WORKER_CPU)])
+    capacities: list[tuple[float, int]] = field(default_factory=lambda: [(0.0, WORKER_CPU)])
     """Changes of capacity: monotonic time, and from then on thousandths of a core."""
     memory_mb: int = 8000
     task_s: float = 0.05
@@ -138,7 +138,7 @@
         restarted = HostedWorker(
             self.id, self.pool, self.instance, self.rack, self.history, self.cpu
         )
-        restarted.rooms = self.rooms
+        restarted.capacities = self.capacities
         restarted.task_s = self.task_s
         restarted.clock_base_ms = INITIAL_CLOCK_MS / 2
         self.next_incarnation = restarted
@@ -174,7 +174,7 @@
     def resize(self, cpu: int) -> None:
         """Change the capacity from now on; present runs continue."""
         self.cpu = cpu
-        self.rooms.append((monotonic(), cpu))
+        self.capacities.append((monotonic(), cpu))
 
     async def crash(self) -> None:
         """End this incarnation and all its runs."""
--- a/standins/hosted/_world.py
+++ b/standins/hosted/_world.py
@@ -58,8 +58,8 @@
         self.task_s = TASK_S
         """Duration of a short task on new workers."""
         self.servers: list[AppServer] = []
-        self.rooms: dict[str, list[tuple[float, int]]] = {}
-        """By worker, also those that are gone: its `HostedWorker.rooms`."""
+        self.capacities: dict[str, list[tuple[float, int]]] = {}
+        """By worker, also those that are gone: its `HostedWorker.capacities`."""
         self.crashed_workers_keep_ids = False
         """Whether workers that a task crashes restart under their old ids."""
         self.crashes: set[asyncio.Task[None]] = set()
@@ -142,7 +142,7 @@
             # The port has been taken meanwhile; the worker uses another one.
             await worker.serve()
         self.workers[worker.instance] = worker
-        self.rooms[worker.id] = worker.rooms
+        self.capacities[worker.id] = worker.capacities
         self.fleet.pools[worker.instance] = worker.pool
         self.fleet.racks[worker.instance] = worker.rack
         self.fleet.workers[worker.instance] = worker.id
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -512,7 +512,7 @@
         self.assertEqual(7.0, WorkerLease(drift=0.02, earlier=EarlierLeases(7.0)).expires_at())
 
 
-class IntakeTest(unittest.IsolatedAsyncioTestCase):
+class SubmissionFollowerTest(unittest.IsolatedAsyncioTestCase):
     """Following of submissions."""
 
     async def test_request_dropped_by_the_store_costs_half_a_second_at_most(self) -> None:
@@ -630,7 +630,7 @@
         self.assertGreater(tracker.forecast().cpu_millis, 1900)
 
 
-class SweepTest(unittest.IsolatedAsyncioTestCase):
+class SubmissionCleanupTest(unittest.IsolatedAsyncioTestCase):
     """Removal of the submissions of ended jobs."""
 
     def setUp(self) -> None:
@@ -640,7 +640,7 @@
         self.cleanup = SubmissionCleanup(PoolId("main"), cast("Any", table))
 
     async def transact(self, transaction: Transaction) -> object:
-        """Take a call of the sweep."""
+        """Take a call of the cleanup."""
         self.calls.append(transaction)
         return self.answers
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -103,7 +103,7 @@
         self.world = SoakWorld(NODE_MODULE)
         self.job = SentJob(JOB, JobKind.SHORT, [{"count": 1}])
         for number in range(100):
-            self.world.rooms[f"w-{number}"] = [(0.0, WORKER_CPU)]
+            self.world.capacities[f"w-{number}"] = [(0.0, WORKER_CPU)]
         self.record_exchange("POST", 200)
         caller = cast(
             "Caller",
@@ -159,7 +159,7 @@
         self.assertIn("an accepted job is known", self.broken_promises())
 
     def test_start_beyond_reduced_capacity(self) -> None:
-        self.world.rooms["w-1"] = [(0.0, 4000), (10.0, 500)]
+        self.world.capacities["w-1"] = [(0.0, 4000), (10.0, 500)]
         self.add_run(1, 9.0, 20.0, "done")
         concurrent = Run(
             f"{JOB}.0.0.1",
