--- a/pumicespur/node/_table_follower.py
+++ b/pumicespur/node/_table_follower.py
@@ -113,7 +113,7 @@
                 case Result(tag="ok", ok=page):
                     self._note_connected(True, "")
                     self.responded_at = monotonic()
-                    self._note_reading(page, asked_at, version is None)
+                    self._note_progress(page, asked_at, version is None)
                     self.on_rows(page.rows, version is None)
                     if self.fallback and self._is_refresh_due():
                         await self._read_fallback(self.fallback)
@@ -155,7 +155,7 @@
         match response:
             case Result(tag="ok", ok=page):
                 self.responded_at = monotonic()
-                self._note_reading(page, asked_at, whole=True)
+                self._note_progress(page, asked_at, whole=True)
                 self.on_rows(page.rows, fallback.whole)
             case Result(error=fault):
                 self._note_connected(False, str(fault))
@@ -171,7 +171,7 @@
         """Return whether the known rows have reached half of their maximum age."""
         return self.progress.age_s(monotonic()) > self._max_age_s() / 2
 
-    def _note_reading(self, page: Page, asked_at: float, whole: bool) -> None:
+    def _note_progress(self, page: Page, asked_at: float, whole: bool) -> None:
         """Note the version known; a truncated response proves nothing newer."""
         proves_nothing = not page.rows and not whole and self._max_age_s() < math.inf
         if page.complete and not proves_nothing:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -146,8 +146,8 @@
         known = {PoolId("main"): PoolSettings(PoolId("main"), True, False)}
         view = FleetView(Configuration(1, {}, known), workers={entry.name: entry})
         owner: Any = SimpleNamespace(view=view)
-        watch: Any = SimpleNamespace(load=WorkerLoad(worker))
-        return PoolOwner._has_successor(owner, watch)
+        session: Any = SimpleNamespace(load=WorkerLoad(worker))
+        return PoolOwner._has_successor(owner, session)
 
     def test_successor_counts_only_if_its_pool_is_known(self) -> None:
         self.assertTrue(self.has_successor("main"))
