--- a/pumicespur/jobs/_account_report.py
+++ b/pumicespur/jobs/_account_report.py
@@ -88,7 +88,7 @@
 def describe_limit_block(
     pool: PoolState, job: Job, reports: Mapping[PoolId, PoolReport]
 ) -> dict[str, object]:
-    """Describe whether an account's limit blocks a job, and the allotments of all pools."""
+    """Describe whether an account's limit blocks a job, and if so the pools' known allotments."""
     described: dict[str, object] = {"beyond_share": job.exceeds_share}
     if job.account not in pool.limits.blocked_accounts:
         return described
--- a/pumicespur/jobs/_account_usage.py
+++ b/pumicespur/jobs/_account_usage.py
@@ -30,10 +30,10 @@
         self.tasks += count
 
     def share_of(self, limit: Capacity, more: StepRecord | None = None, count: int = 1) -> int:
-        """Return the used share of a limit, as a part of `WHOLE_LIMIT`, rounded up.
+        """Return the used share of a limit in units of `WHOLE_LIMIT`, rounded up.
 
-        The resource that is nearest to its limit counts; resources without a limit don't. `count`
-        tasks like `more` are included.
+        The share is that of the resource nearest to its limit; resources without a limit are
+        ignored. `count` further tasks of the step `more` are included.
         """
         cpu, memory, accelerators = self.cpu_millis, self.memory_mb, self.accelerators
         if more is not None:
--- a/pumicespur/jobs/_advice_client.py
+++ b/pumicespur/jobs/_advice_client.py
@@ -30,7 +30,7 @@
 
 
 class AdviceClient:
-    """Requests tickets, one call at a time, for the step with the highest priority first."""
+    """Requests tickets, one call at a time, for the most urgent step first."""
 
     def __init__(self, pool: PoolState, orders: WorkerOrders) -> None:
         self.pool = pool
@@ -48,7 +48,7 @@
     def _next_group(self) -> StepGroup | None:
         now = monotonic()
         for group in order_groups(self.pool.jobs.values(), now_ms()):
-            if group.job.advised and not group.has_tickets(now) and self._candidates(group):
+            if group.job.needs_tickets and not group.has_tickets(now) and self._candidates(group):
                 return group
         return None
 
--- a/pumicespur/jobs/_allotment_exchange.py
+++ b/pumicespur/jobs/_allotment_exchange.py
@@ -66,7 +66,10 @@
                     await self._wait_to_retry(str(error))
 
     async def _read_founders(self) -> list[PoolId]:
-        """Return the pools with equal initial allotments, which the first owner to ask records."""
+        """Return the pools that initially hold equal allotments.
+
+        The first owner that finds no record of them writes one.
+        """
         while True:
             found = await self.table.read(FOUNDERS_KEY)
             match found:
@@ -83,7 +86,9 @@
         write = Write(FOUNDERS_KEY, FoundersRecord(pools=sorted(self.view.pools())).to_binary())
         written = await self.table.transact(Transaction([Condition(FOUNDERS_KEY, 0)], [write]))
         if written.is_error():
-            log.info("founders not written", pool=self.limits.pool, reason=str(written.error))
+            log.info(
+                "initial allotments not written", pool=self.limits.pool, reason=str(written.error)
+            )
 
     async def _wait_to_retry(self, reason: str) -> None:
         log.warning("allotments not read", pool=self.limits.pool, reason=reason)
@@ -101,7 +106,10 @@
         return self.limits.apply_reports(peers, now)
 
     def report_new_shortfalls(self) -> None:
-        """Request a report at once if an account in need of one is not in the last report."""
+        """Request a report at once if the last one lacks an account that needs to be in it.
+
+        Such an account is blocked here, or another pool waits for its report.
+        """
         if (
             not self.limits.blocked_accounts | self.limits.awaited_accounts
             <= self.reported_accounts
--- a/pumicespur/jobs/_crash_attribution.py
+++ b/pumicespur/jobs/_crash_attribution.py
@@ -41,13 +41,14 @@
 and mostly none is the cause, so that quarantine would only keep workers idle."""
 
 MAX_QUARANTINE_WAIT_S = 1.5
-"""Longest wait of a suspected task for a reserved worker; then it is placed like any other, spread
-out, so that many suspected tasks in a small pool don't queue while most of the capacity is free. It
-doubles with each further loss, so that the least suspected tasks leave the queue first. The last
-start before a job fails is always quarantined."""
+"""Longest wait of a suspected task for a reserved worker. After that it is placed like any other,
+spread out, so that many suspected tasks don't queue while most of a small pool's capacity is free.
+The wait doubles with each further loss, so that tasks with fewer losses leave the queue first. The
+last start before a job fails is always quarantined."""
 
 MAX_QUARANTINE_RATIO = 0.5
-"""Share of a pool's available workers that may be reserved for quarantine."""
+"""Share of a pool's available workers that may be reserved for quarantine; the rest runs all other
+tasks."""
 
 SOLE_CAUSE_LIMIT = 2
 """Crashed instances with a task as the only possible cause at which its job fails. One crash may
@@ -133,11 +134,14 @@
         return False
     if task.spec.same_rack and group.rack is not None and load.worker.rack != group.rack:
         return False
-    return not group.job.advised or bool(group.ticket(load.worker.id, now))
+    return not group.job.needs_tickets or bool(group.ticket(load.worker.id, now))
 
 
 def _quarantine_order(load: WorkerLoad, task: Task) -> tuple[bool, int, float, str]:
-    """Return a sort key: a new instance first, then few unproven tasks, then low utilization."""
+    """Return a sort key: a new instance first, then few unproven tasks to wait for.
+
+    Low utilization comes next: few other runs are lost if the suspected task crashes the worker.
+    """
     seen_before = any(loss.instance == load.instance for loss in task.losses)
     unproven = sum(1 for other in load.tasks if other.stability is RunStability.NEW)
     return (seen_before, unproven, load.utilization(), load.worker.id)
@@ -153,19 +157,21 @@
         load.suspected_tasks.discard(task)
 
 
-def attribute_crash(load: WorkerLoad, pending: Collection[Task], *, single: bool) -> list[Task]:
+def attribute_crash(
+    load: WorkerLoad, pending: Collection[Task], *, may_be_sole_cause: bool
+) -> list[Task]:
     """Attribute the loss of a worker to the tasks that may have caused it; return these.
 
-    `pending` starts are left out: their responses may show that they did not arrive. `single` tells
-    that the worker has certainly ended, and that none of its rack fell silent at the same time
-    without a task that explains it.
+    `pending` starts are left out: their responses may show that they did not arrive.
+    `may_be_sole_cause` says that the worker has certainly ended and that no other worker of its
+    rack without newly started tasks stopped responding at the same time.
     """
     ordered = [task for task in load.tasks if _was_ordered(task, load) and task not in pending]
     new = [task for task in ordered if task.stability is RunStability.NEW]
     if not new and load.leaving:
         return []
     suspected = new or [task for task in ordered if task.stability is RunStability.PROVEN]
-    sole_suspect = len(new) == 1 and single and not load.leaving
+    sole_suspect = len(new) == 1 and may_be_sole_cause and not load.leaving
     for task in suspected:
         task.losses.append(WorkerLoss(load.worker.id, load.instance, sole_suspect))
     return suspected
--- a/pumicespur/jobs/_demand.py
+++ b/pumicespur/jobs/_demand.py
@@ -36,7 +36,8 @@
 """Share of its workers' capacity that a pool plans to use; tasks seldom fill a worker entirely."""
 
 MIN_WORKERS = 4
-"""Workers kept in an idle pool: one can be lost and one be down while a third takes work."""
+"""Minimum number of workers that a pool requests: an idle pool can still start work when one of
+them is lost and another is down."""
 
 PEAK_END_RATIO = 0.5
 """A load peak is over once the arriving work falls below this share of its recent maximum; the
@@ -166,18 +167,21 @@
             if not spec.long_running
         )
         if work:
-            # A long job is spread over its critical path. Otherwise one job with 25 s of work in
-            # two steps looked like a load peak that needs 77 workers.
+            # A long job is spread over its critical path; otherwise a single job with much work
+            # would look like a load peak.
             duration_ms = max(ARRIVAL_AVERAGING_S * 1000, max(job.critical_paths_ms))
             self.entries.append(Arrival(job.record.accepted_ms, work / duration_ms, duration_ms))
 
     def cpu_millis(self, now_ms: int) -> int:
-        """Return the processor time that recent work keeps busy, in thousandths of a core."""
+        """Return how much processor capacity recently submitted work keeps busy.
+
+        In thousandths of a core.
+        """
         self.entries = deque(e for e in self.entries if now_ms - e.accepted_ms <= e.duration_ms)
         return round(sum(entry.cpu_millis for entry in self.entries))
 
     def measure(self, now_ms: int) -> int:
-        """Return the arriving processor time and add it to the samples."""
+        """Return the arriving work in thousandths of a core and add it to the samples."""
         cpu_millis = self.cpu_millis(now_ms)
         self.samples.append(ArrivalSample(now_ms, cpu_millis))
         while now_ms - self.samples[0].at_ms > PEAK_RETENTION_S * 1000:
@@ -185,9 +189,10 @@
         return cpu_millis
 
     def forecast(self) -> int:
-        """Return the arriving processor time extrapolated by `ARRIVAL_FORECAST_S` if it grows.
+        """Return the arriving work, extrapolated by `ARRIVAL_FORECAST_S` if it grows.
 
-        The largest new job is excluded from the growth, because a single job is no trend.
+        In thousandths of a core. The largest new job is excluded from the growth, because a single
+        job is no trend.
         """
         if not self.samples:
             return 0
--- a/pumicespur/jobs/_job.py
+++ b/pumicespur/jobs/_job.py
@@ -196,8 +196,8 @@
     """The submitting account; it stays the same if the key of the submission is revoked."""
     exceeds_share: bool = False
     """Its account was beyond its fair share when the job was submitted."""
-    advised: bool = False
-    """Its tasks need admission tickets of the advice service."""
+    needs_tickets: bool = False
+    """Whether its tasks need admission tickets of the advice service."""
     phase: JobPhase = JobPhase.QUEUED
     failure: FailureRecord | None = None
     has_started: bool = False
@@ -313,7 +313,10 @@
 
 
 def make_job(record: JobRecord, route: Route | None, estimates: DurationEstimates) -> Job:
-    """Create a job with its groups and tasks; without its route it can be kept but not run."""
+    """Create a job with its groups and tasks.
+
+    Without its route it has priority 0, one attempt, no latency objective and needs no tickets.
+    """
     critical_paths_ms = compute_critical_paths_ms(record, estimates)
     stretch = route.stretch if route else 1.0
     objective_ms = route.latency_objective_s * 1000 if route else 0.0
@@ -328,7 +331,7 @@
         + stretch * max(critical_paths_ms, default=0.0),
         critical_paths_ms=critical_paths_ms,
         account=AccountId(record.account),
-        advised=route is not None and route.advice is not None,
+        needs_tickets=route is not None and route.advice is not None,
     )
     for repeat in range(max(1, record.repeats)):
         due_ms = record.first_due_ms + repeat * record.interval_ms if record.repeats else 0
--- a/pumicespur/jobs/_keys.py
+++ b/pumicespur/jobs/_keys.py
@@ -34,32 +34,38 @@
 
 
 def submission_key(pool: PoolId, job: JobId) -> str:
-    """Return the row of a job's submission; it is reduced when the job has ended."""
+    """Return the key of the row of a job's submission.
+
+    The row is compacted when the job has ended.
+    """
     partition = zlib.crc32(job.encode()) % SUBMISSION_PARTITIONS
     return f"{submissions_table(pool)}/{pool}.{partition}/{job}"
 
 
 def progress_key(pool: PoolId, job: JobId) -> str:
-    """Return the row of a job's progress, which exists once a task was placed."""
+    """Return the key of the row of a job's progress, which exists once a task was placed."""
     return f"progress/{pool}/{job}"
 
 
 def owner_key(pool: PoolId) -> str:
-    """Return the row of a pool's owner; its version is the fencing token."""
+    """Return the key of the row of a pool's owner; the row's version is the fencing token."""
     return f"{OWNERS_TABLE}/{pool}/owner"
 
 
 def commit_key(pool: PoolId) -> str:
-    """Return the row that each commit of an owner replaces."""
+    """Return the key of the row that each commit of an owner replaces."""
     return f"commits/{pool}/last"
 
 
 ALLOTMENTS_TABLE = "parts"
 
 FOUNDERS_KEY = "founders//parts"
-"""The row of the pools that started with equal allotments of every account's limit."""
+"""Key of the row that lists the pools with equal initial allotments of every account's limit."""
 
 
 def allotment_key(pool: PoolId, account: AccountId) -> str:
-    """Return the row of a pool's allotment of an account; ids may be longer than keys permit."""
+    """Return the key of the row of a pool's allotment of an account.
+
+    It holds a hash, since the account's id may be longer than a key may be.
+    """
     return f"{ALLOTMENTS_TABLE}/{pool}/{key_digest(account).hex()}"
--- a/pumicespur/jobs/_known_state.py
+++ b/pumicespur/jobs/_known_state.py
@@ -1,9 +1,10 @@
 """The state that an owner's orders depend on, and how stale it may be.
 
-A start is decided on tables that were read, then recorded, then ordered. The platform limits the
-time between the store's confirmation that a worker leaves or a job is cancelled, and the last start
-there. A read shows everything that was confirmed before it was requested. So a start is in time if
-it begins before the age of that request exceeds the time allowed.
+An owner places a task by the tables it has read, records the placement, and then orders the start.
+Once the store has confirmed that a worker is draining or a job is cancelled, the platform allows
+starts there only for a limited time (`drain_ms`, `cancel_ms`). A read shows every change that was
+confirmed before the read was requested, so a start is in time if it begins within that limit after
+the request.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
         return ""
 
     def valid_for_s(self, settings: WorkerSettings, now: float) -> float:
-        """Return for how long a start that depends on them may still begin, in seconds."""
+        """Return for how long a start that depends on this state may still begin, in seconds."""
         return min(
             settings.drain_ms / 1000 - self.workers.age_s(now),
             settings.cancel_ms / 1000 - self.submissions.age_s(now),
--- a/pumicespur/jobs/_lease.py
+++ b/pumicespur/jobs/_lease.py
@@ -37,14 +37,15 @@
     granted_until_ms: float = 0.0
 
     def note_clock(self, clock_ms: float, now: float) -> None:
-        """Record a reading of the worker's clock, which showed at least this at `now`."""
+        """Note a reading of the worker's clock, which at `now` (monotonic) shows at least this."""
         self.clock_ms = clock_ms
         self.last_seen_at = now
 
     def grant(self, now: float, lease_s: float, at_most_s: float = math.inf) -> int | None:
         """Return a deadline on the worker's clock, or None before its clock is known.
 
-        It passes within `at_most_s` from now, even if that clock runs as slow as `drift` allows.
+        The deadline is at most `at_most_s` from now, even if that clock runs as slow as `drift`
+        allows.
         """
         if self.clock_ms is None:
             return None
--- a/pumicespur/jobs/_ledger.py
+++ b/pumicespur/jobs/_ledger.py
@@ -23,8 +23,9 @@
     from pumicespur.model import AccountId
 
 WHOLE_LIMIT = 1_000_000
-"""A whole limit. Allotments are shares of it, so that a change of the limit takes effect in each
-pool with the new configuration, without dividing the limit again."""
+"""A whole limit, in the unit of allotments and usage: millionths of the limit. As allotments are
+shares, a change of the limit takes effect in each pool with the new configuration, without dividing
+the limit again."""
 
 
 def compute_founding_allotment(pool: PoolId, founders: Sequence[PoolId]) -> int:
--- a/pumicespur/jobs/_limit_transfers.py
+++ b/pumicespur/jobs/_limit_transfers.py
@@ -59,7 +59,7 @@
     amount: int
     held: int
     """Allotment of the requesting pool, including transfers in transit to it from this one."""
-    short: int
+    next_task_shortfall: int
     """Shortfall of the requesting pool for its next task."""
     rank: TransferRank
 
@@ -115,7 +115,7 @@
     return TransferRequest(
         amount=report.lacking - in_transit,
         held=held,
-        short=report.needed - held,
+        next_task_shortfall=report.needed - held,
         rank=compute_rank(peer.pool, report.used, report.needed, all_used - report.used),
     )
 
@@ -138,5 +138,5 @@
     if rank < request.rank:
         return max(0, min(equal_share, available - allotment.needed))
     if allotment.needed > available and not request.rank.must_wait:
-        return max(equal_share, min(request.short, available - used))
+        return max(equal_share, min(request.next_task_shortfall, available - used))
     return equal_share
--- a/pumicespur/jobs/_limits.py
+++ b/pumicespur/jobs/_limits.py
@@ -46,7 +46,7 @@
     accounts: Mapping[AccountId, ClientAccount] = field(default_factory=dict)
     founders: Sequence[PoolId] = ()
     allotments: dict[AccountId, Allotment] = field(default_factory=dict)
-    known_limits: dict[AccountId, Capacity] = field(default_factory=dict)
+    removed_limits: dict[AccountId, Capacity] = field(default_factory=dict)
     """Last limits of accounts that were removed from the configuration."""
     changed: dict[AccountId, None] = field(default_factory=dict)
     """Accounts whose ledger has to be recorded, oldest first."""
@@ -56,8 +56,9 @@
     blocked_accounts: set[AccountId] = field(default_factory=set)
     """Accounts with tasks that were blocked by their limit in this round."""
     awaited_accounts: set[AccountId] = field(default_factory=set)
-    """Accounts for which another pool waits for a report, of a transfer taken or of the usage."""
-    unconfirmed: set[AccountId] = field(default_factory=set)
+    """Accounts whose report another pool waits for: to learn the usage here, or that a transfer was
+    taken."""
+    unconfirmed_accounts: set[AccountId] = field(default_factory=set)
     """Accounts with transfers that another pool is not known to have taken."""
     withheld_accounts: set[AccountId] = field(default_factory=set)
     """Accounts with a part of the allotment withheld for other pools."""
@@ -68,7 +69,7 @@
             return
         for name, account in self.accounts.items():
             if name not in accounts:
-                self.known_limits[name] = account.limit
+                self.removed_limits[name] = account.limit
         self.accounts = accounts
 
     def set_founders(self, founders: Sequence[PoolId]) -> None:
@@ -86,7 +87,7 @@
     def limit_of(self, account: AccountId) -> Capacity:
         """Return an account's limit; a removed account keeps its last one."""
         declared = self.accounts.get(account)
-        return declared.limit if declared else self.known_limits.get(account, UNLIMITED)
+        return declared.limit if declared else self.removed_limits.get(account, UNLIMITED)
 
     def allotment_of(self, account: AccountId) -> Allotment:
         """Return an account's allotment in this pool."""
@@ -197,20 +198,23 @@
             due = compute_due_amount(allotment, request, rank, used, now)
             amount = min(due, max(0, allotment.available - used))
             allotment.withheld += due - amount
-            if amount >= min(request.amount, MIN_TRANSFER) or amount >= request.short > 0:
+            if (
+                amount >= min(request.amount, MIN_TRANSFER)
+                or amount >= request.next_task_shortfall > 0
+            ):
                 allotment.ledger.give(peer.pool, amount)
                 self.changed[account] = None
 
     def _update_unconfirmed(self, account: AccountId, allotment: Allotment) -> None:
         if allotment.has_unconfirmed_transfers():
-            self.unconfirmed.add(account)
+            self.unconfirmed_accounts.add(account)
         else:
-            self.unconfirmed.discard(account)
+            self.unconfirmed_accounts.discard(account)
 
     def reports(self) -> list[PartReport]:
         """Return the reports to the other owners: shortfalls, usage and transfers."""
         blocked = sorted(self.blocked_accounts)
-        others = sorted((self.awaited_accounts | self.unconfirmed) - self.blocked_accounts)
+        others = sorted((self.awaited_accounts | self.unconfirmed_accounts) - self.blocked_accounts)
         return [self._report(account) for account in [*blocked, *others][:MAX_REPORTED_ACCOUNTS]]
 
     def _report(self, account: AccountId) -> PartReport:
@@ -242,11 +246,15 @@
 
     def note_recorded(self, records: Iterable[PartRecord]) -> bool:
         """Note that ledgers are recorded; return whether other owners need a report of them."""
-        has_news = False
+        needs_report = False
         for record in records:
             account = AccountId(record.account)
             allotment = self.allotment_of(account)
             allotment.ledger.note_recorded(record)
             self._update_unconfirmed(account, allotment)
-            has_news = has_news or account in self.unconfirmed or account in self.awaited_accounts
-        return has_news
+            needs_report = (
+                needs_report
+                or account in self.unconfirmed_accounts
+                or account in self.awaited_accounts
+            )
+        return needs_report
--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -47,10 +47,11 @@
 """Time to gather changes into one commit; about one response time of the store."""
 
 MAX_JOBS_PER_COMMIT = 45
-"""An ended job takes two rows; with the owner's own rows a commit stays under 100 entries."""
+"""One row each; with `MAX_ALLOTMENTS_PER_COMMIT` and the owner's own rows a commit stays under the
+100 entries that the store accepts."""
 
 MAX_ALLOTMENTS_PER_COMMIT = 40
-"""One row each, in addition to the rows of the jobs."""
+"""One row each."""
 
 IDLE_COMMIT_INTERVAL_S = 1.0
 """How often an owner with nothing to record confirms that it still owns the pool."""
@@ -126,9 +127,9 @@
         self.changed.set()
 
     def apply_allotment_reports(self) -> None:
-        """Apply other owners' reports on allotments; request a round only if a transfer is due.
+        """Apply other owners' reports on allotments; request a round only if an allotment changed.
 
-        With a round for every report, owners of overloaded pools spent their time on placement.
+        A round for every report would keep the owner of an overloaded pool busy with placement.
         """
         if self.ready and self.allotments.apply_reports(monotonic()):
             self.wake()
@@ -147,7 +148,11 @@
         )
 
     def may_renew_leases(self, now: float) -> bool:
-        """Whether leases may be renewed; a successor relies on no renewals after a silence."""
+        """Whether leases may be renewed.
+
+        They may be renewed only until `owner_silence_s` after the last confirmed commit was sent,
+        as a successor relies on that, and not while stopping.
+        """
         silence_s = self.settings.workers.owner_silence_s
         return not self.stopping and now - self.journal.confirmed_at < silence_s
 
@@ -179,7 +184,7 @@
             self.stopped.set()
 
     async def stop(self) -> None:
-        """Release the pool: send no more orders, record all changes, clear the owner."""
+        """Release the pool: start no more tasks, record all changes, mark its row as released."""
         self.stopping = True
         self.wake()
         await self.stopped.wait()
@@ -388,7 +393,10 @@
         return not reason
 
     def _throttle(self) -> None:
-        """Throttle best-effort tasks beside tasks that miss their latency objective."""
+        """Throttle best-effort tasks beside tasks close to or above their latency objective.
+
+        They speed up again once the latency is well below the objective.
+        """
         for task, percent in choose_speed_changes(self.pool.loads.values(), monotonic()):
             session = self._session_of(task)
             if session is not None:
@@ -412,14 +420,14 @@
         """Update which workers are to be evacuated; report evacuated ones at once."""
         names = self.view.evacuations(MAX_EVACUATION_AGE_S)
         now = monotonic()
-        has_news = False
+        needs_report = False
         for load in self.pool.loads.values():
             wanted = None if names is None else load.worker.name in names
             if load.update_evacuation(wanted, now):
-                has_news = True
+                needs_report = True
             if load.evacuating and not load.tasks and load.reported_tasks:
-                has_news = True
-        if has_news:
+                needs_report = True
+        if needs_report:
             self.request_report()
 
     def _collect_batch(self) -> Batch:
--- a/pumicespur/jobs/_placement.py
+++ b/pumicespur/jobs/_placement.py
@@ -1,4 +1,4 @@
-"""Placement of tasks on workers: urgent and early work first, near its data."""
+"""Placement of waiting tasks on workers: by deadline and priority, preferably near their data."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 PRIORITY_DELAY_MS = 20_000.0
 """Added to a job's deadline per priority level when groups are ordered; higher levels are less
-urgent. Work that is overdue by more than this still goes first."""
+urgent. A job one level up still goes first if its deadline is earlier by more than this."""
 
 OVERDUE_DELAY_MS = 10_000.0
 """Added to the deadline of work that can no longer finish in time; about the length of a load
@@ -34,9 +34,9 @@
 The delay is bounded so that such jobs are served too."""
 
 REMAINING_TIME_RATIO = 1.0
-"""Share of a job's expected remaining time that must fit before its deadline; expected times are
-rough. An overloaded pool works on the jobs closest to their deadline, so that with a ratio of 0.5
-more of them finish late."""
+"""Share of a job's expected remaining time that must fit before its deadline, or else the job is
+overdue; expected times are rough. An overloaded pool works on the jobs closest to their deadline,
+so with a lower ratio it would prefer jobs that finish late all the same."""
 
 
 def order_groups(jobs: Iterable[Job], now_ms: float) -> list[StepGroup]:
@@ -107,7 +107,7 @@
             and load.meets_constraints(group)
             and quarantine_allows(load, task, self.now)
         ]
-        if group.job.advised:
+        if group.job.needs_tickets:
             return [load for load in eligible if group.ticket(load.worker.id, self.now)]
         return eligible
 
@@ -274,7 +274,8 @@
             key=lambda load: (count_unproven_suspects(load), load.utilization(), load.worker.id),
         )
     if spec.fills:
-        # Best-effort tasks reserve no processor time, so that they are spread out.
+        # Best-effort tasks reserve no processor time, so packing would put them all on one worker;
+        # they are spread out.
         return min(
             eligible,
             key=lambda load: (_is_far_from_data(group, load), load.utilization(), load.worker.id),
@@ -283,10 +284,10 @@
 
 
 def _packing_key(group: StepGroup, load: WorkerLoad) -> tuple[bool, float, WorkerId]:
-    """Order workers by utilization, highest first, so that others stay idle.
+    """Return a sort key: workers near the group's data first, then by utilization, highest first.
 
-    Idle instances can move to another pool at once. Spread evenly, the last tasks of a load peak
-    kept all of its instances for seconds.
+    Other workers thus stay idle, and idle instances can move to another pool at once. If tasks were
+    spread evenly, the last ones of a load peak would keep all instances in the pool.
     """
     return (_is_far_from_data(group, load), -load.utilization(), load.worker.id)
 
@@ -296,7 +297,11 @@
 
 
 def _choose_in_rack(group: StepGroup, eligible: list[WorkerLoad]) -> WorkerLoad | None:
-    """Keep a group in the rack of its first task: the data's, or that with most free capacity."""
+    """Return the least utilized eligible worker in the group's rack, or None if there is none.
+
+    The first task sets the rack: that of the group's data if eligible, else the one with the most
+    free processor capacity.
+    """
     if group.rack is not None:
         eligible = [load for load in eligible if load.worker.rack == group.rack]
         return min(eligible, key=lambda load: (load.utilization(), load.worker.id), default=None)
--- a/pumicespur/jobs/_pool.py
+++ b/pumicespur/jobs/_pool.py
@@ -48,13 +48,14 @@
 RunKey: TypeAlias = tuple[TaskName, int]
 """A task and the number of its run."""
 
-SILENCE_RETENTION_S = 30.0
-"""Longer than the lease of a worker that stopped answering at the same time."""
+UNRESPONSIVE_RETENTION_S = 30.0
+"""Time for which an unresponsive worker is remembered, to find a common cause; longer than the
+lease of another worker that stopped responding at the same time."""
 
 
 @dataclass(frozen=True)
-class Silence:
-    """A worker that stopped answering, with no newly started task that could have crashed it.
+class UnresponsiveWorker:
+    """A worker that stopped responding without a newly started task that could have crashed it.
 
     `at` is in monotonic seconds.
     """
@@ -87,7 +88,7 @@
     dirty: set[Job] = field(default_factory=set)
     newly_placed: list[Task] = field(default_factory=list)
     """Tasks placed since the last commit."""
-    silences: list[Silence] = field(default_factory=list)
+    unresponsive_workers: list[UnresponsiveWorker] = field(default_factory=list)
     estimates: DurationEstimates = field(default_factory=DurationEstimates)
     limits: PoolLimits = field(init=False)
     inherited: dict[WorkerId, list[InheritedRun]] = field(default_factory=dict)
@@ -192,31 +193,36 @@
                 load.remove(task)
         self.resolve_inherited(worker)
 
-    def note_silence(self, load: WorkerLoad, now: float) -> None:
-        """Note that a worker stopped answering."""
-        load.silent_at = now
-        self.silences = [s for s in self.silences if now - s.at < SILENCE_RETENTION_S]
+    def note_unresponsive(self, load: WorkerLoad, now: float) -> None:
+        """Note that a worker stopped responding."""
+        load.unresponsive_since = now
+        self.unresponsive_workers = [
+            w for w in self.unresponsive_workers if now - w.at < UNRESPONSIVE_RETENTION_S
+        ]
         if not has_unproven_tasks(load) and not load.leaving:
-            self.silences.append(Silence(load.worker.id, load.worker.rack, now))
+            self.unresponsive_workers.append(
+                UnresponsiveWorker(load.worker.id, load.worker.rack, now)
+            )
 
     def note_lost_runs(
         self, load: WorkerLoad, pending: Collection[Task] = (), *, ended: bool = True
     ) -> list[Task]:
         """Attribute the loss of a worker with its runs; return the suspected tasks.
 
-        `ended` says that the incarnation is over, rather than only silent for too long. Other
-        workers of the rack that went silent at the same time suggest a common cause.
+        `ended` says that the incarnation has certainly ended; otherwise it was only unresponsive
+        until its lease expired. Other workers of the rack that stopped responding at the same time
+        suggest a common cause.
         """
         common_cause = any(
-            silence.worker != load.worker.id
-            and silence.rack == load.worker.rack
-            and abs(silence.at - load.silent_at) <= COMMON_CAUSE_WINDOW_S
-            for silence in self.silences
+            other.worker != load.worker.id
+            and other.rack == load.worker.rack
+            and abs(other.at - load.unresponsive_since) <= COMMON_CAUSE_WINDOW_S
+            for other in self.unresponsive_workers
         )
-        blamed = attribute_crash(load, pending, single=ended and not common_cause)
-        for task in blamed:
+        suspected = attribute_crash(load, pending, may_be_sole_cause=ended and not common_cause)
+        for task in suspected:
             self._check_losses(task)
-        return blamed
+        return suspected
 
     def retract_loss(self, task: Task, worker: WorkerId) -> None:
         """Remove a worker loss from a task that turned out to run elsewhere."""
--- a/pumicespur/jobs/_pool_sizing.py
+++ b/pumicespur/jobs/_pool_sizing.py
@@ -35,7 +35,7 @@
     def __init__(self, pool: PoolState, request_report: Callable[[], None]) -> None:
         self.pool = pool
         self.request_report = request_report
-        """Requests a heartbeat at once."""
+        """Requests a report at once."""
         self.demand = DemandTracker()
         self.arrivals = ArrivalTracker()
         self.current = PoolDemand()
@@ -59,8 +59,8 @@
         """Fill the pool's requested size into a report.
 
         Work that can no longer finish in time takes no instances from other pools, but keeps those
-        that no other pool requests. Counted like other work, it kept 116 of 180 instances in its
-        pool during the start of the next pool's load peak, which had 24 for 7 s.
+        that no other pool requests. Otherwise it would hold instances that another pool needs at
+        the start of its load peak.
         """
         demand = measure_demand(self.pool, now_ms())
         report.busy_workers = self._count_busy_workers(demand.waiting)
@@ -70,8 +70,8 @@
         )
         report.wanted_workers = max(report.busy_workers, self._count_workers(all_waiting))
         if not self.arrivals.is_falling():
-            # After the end of a load peak its maximum no longer counts: otherwise workers stay idle
-            # in this pool while the next pool waits for them.
+            # The recent maximum bridges pauses within a load peak. It no longer counts after the
+            # peak's end: otherwise workers stay idle here while the next pool waits for them.
             peak_workers = self._count_workers(self.demand.forecast())
             report.wanted_workers = max(report.wanted_workers, peak_workers)
         self.reported_workers = report.busy_workers
--- a/pumicespur/jobs/_service.py
+++ b/pumicespur/jobs/_service.py
@@ -44,7 +44,7 @@
         """Other pools that may have jobs of a route: all, or only its earlier ones if true."""
 
     async def submit(self, route: Route, record: JobRecord, give_up_at: float) -> SubmissionOutcome:
-        """Record a job; an id that is recorded already counts as accepted.
+        """Record a job; a job that the caller has submitted before counts as accepted.
 
         `give_up_at` is the monotonic time by which the caller needs a response.
         """
--- a/pumicespur/jobs/_submission_follower.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -33,9 +33,9 @@
 """Pause after an error of the store outside commits."""
 
 MAX_WATCH_S = 0.25
-"""Longest wait for new submissions in one request. A request that the store lost returns no
-changes, and that time counts against the callers' latency objective. The submissions are then read
-in full, since jobs that arrive unnoticed also delay those behind them."""
+"""Longest wait for new submissions in one request. If the response is lost, new jobs are noticed
+only after the timeout; that time counts against the callers' latency objective. All submissions are
+then read, since unnoticed jobs also delay those behind them."""
 
 
 class SubmissionFollower:
@@ -157,7 +157,11 @@
                     self.progress = TableProgress(page.version, current_as_of)
                     rows = page.rows
                 case Result(error=HistoryGone()):
-                    log.warning("submissions read in full", pool=pool, reason="history gone")
+                    log.warning(
+                        "submissions read in full",
+                        pool=pool,
+                        reason="the store has dropped the changes",
+                    )
                     rows = await self._read_all()
                 case Result(error=AnswerLost()) if self.table.is_responding():
                     log.info(
--- a/pumicespur/jobs/_unconfirmed_starts.py
+++ b/pumicespur/jobs/_unconfirmed_starts.py
@@ -28,7 +28,8 @@
 
     run: int
     since: float
-    """When its call was given up (monotonic seconds); statuses requested before prove nothing."""
+    """When its call ended without a response, or the pool was taken over if the start was adopted
+    (monotonic seconds). A status requested earlier does not show whether the worker accepted it."""
     revoked_at: float | None = None
     """When the worker confirmed that the run is revoked (monotonic seconds)."""
     ordered_to: WorkerId | None = None
--- a/pumicespur/jobs/_worker_load.py
+++ b/pumicespur/jobs/_worker_load.py
@@ -20,8 +20,8 @@
 """Length of a worker's first ejection; it doubles with each further one."""
 
 REPORT_VALIDITY_S = 6.0
-"""Time for which the fleet leader may act on a report: the maximum age of the report, the interval
-at which the leader confirms its role, the timeout of its order, and a heartbeat."""
+"""Time for which the fleet leader may act on a report: the maximum age of the report, the maximum
+age of the leader's proof of its role, the timeout of its order, and a heartbeat."""
 
 MAX_EJECT_S = 16.0
 """Bounds an ejection so that a recovered worker is used again."""
@@ -40,18 +40,19 @@
     has_unknown_runs: bool = False
     """It has runs that take capacity but are not counted here; they are being stopped."""
     reserved: bool = False
-    """Its only new task will be one suspected task, see `_crash_attribution`."""
-    silent_at: float = 0.0
-    """Monotonic time at which it last stopped answering, in seconds."""
+    """Whether it is reserved for the quarantined start of one suspected task, see
+    `_crash_attribution`."""
+    unresponsive_since: float = 0.0
+    """Monotonic time at which it last stopped responding, in seconds."""
     cpu_millis: int = 0
     memory_mb: int = 0
     accelerators: int = 0
     listed: bool = True
     """Whether the store lists the worker."""
     reachable: bool = False
-    """Whether it answered the last call."""
+    """Whether it responded to the last call."""
     evacuating: bool = False
-    """It gets no new tasks, on behalf of the fleet leader."""
+    """Whether it is being evacuated for the fleet leader; it then gets no new tasks."""
     evacuation_requested: bool = False
     """The latest, still fresh request of the fleet leader is to evacuate it."""
     evacuation_reported_at: float = float("-inf")
--- a/pumicespur/jobs/_worker_session.py
+++ b/pumicespur/jobs/_worker_session.py
@@ -182,7 +182,7 @@
     def note_failure(self, reason: str) -> None:
         """Note a failed call; until the worker responds it gets no tasks and no lease renewal."""
         if self.failures == 0:
-            self.owner.pool.note_silence(self.load, monotonic())
+            self.owner.pool.note_unresponsive(self.load, monotonic())
         self.failures += 1
         if self.load.reachable or self.failures == 1:
             log.warning(
@@ -316,7 +316,7 @@
         """Note and log the runs lost with the worker and the tasks that may have crashed it."""
         lost = [task for task in self.load.tasks if task.is_current_run(self.id, task.run)]
         if self.failures == 0:
-            self.owner.pool.note_silence(self.load, monotonic())
+            self.owner.pool.note_unresponsive(self.load, monotonic())
         suspected = self.owner.pool.note_lost_runs(self.load, self.starts.pending, ended=ended)
         self.loss_attributed = self.loss_attributed or bool(suspected)
         for task in lost:
--- a/pumicespur/jobs/_worker_starts.py
+++ b/pumicespur/jobs/_worker_starts.py
@@ -30,8 +30,13 @@
 """Pause in placement on a worker that refused as unhealthy."""
 
 NO_CAPACITY = "room"
+"""Reason of a worker that refuses a start for lack of capacity."""
+
 NO_TICKET = "ticket"
+"""Reason of a worker that refuses a start without a valid admission ticket."""
+
 UNHEALTHY = ("429", "503")
+"""HTTP statuses with which an unhealthy worker refuses a start."""
 
 
 StartResponse: TypeAlias = Result[None, OtherLife | Refused | Unavailable | AnswerLost]
@@ -73,9 +78,9 @@
         # With this deadline the worker refuses a start that arrives after the known state expired.
         valid_s = known.valid_for_s(settings, now)
         deadline = self.lease.grant(now, settings.lease_s, valid_s)
-        objection = self._reason_to_withhold(task, known, now)
-        if objection or deadline is None:
-            self._undo(task, run, objection or "the worker's clock is not known")
+        withhold_reason = self._reason_to_withhold(task, known, now)
+        if withhold_reason or deadline is None:
+            self._withdraw(task, run, withhold_reason or "the worker's clock is not known")
             return
         response = await self._send(task, run, deadline)
         log.info(
@@ -97,7 +102,7 @@
         METRICS.known_state_ages.observe({"table": "submissions"}, known.submissions.age_s(now))
         self._apply_response(task, run, response, now)
 
-    def _undo(self, task: Task, run: int, reason: str) -> None:
+    def _withdraw(self, task: Task, run: int, reason: str) -> None:
         METRICS.withdrawn_starts.inc({"pool": self.owner.pool.pool, "reason": reason})
         self.requeue_if_unchanged(task, run, reason)
 
@@ -164,7 +169,7 @@
             return "the worker has another label"
         if not self.owner.pool.limits.fits_allotment(task.job.account):
             return "the account's limit has fallen or may have"
-        if task.job.advised and not task.group.ticket(self.id, now):
+        if task.job.needs_tickets and not task.group.ticket(self.id, now):
             return "its ticket is over"
         return known.staleness_reason(self.owner.settings.workers, now)
 
--- a/tests/test_crash_attribution.py
+++ b/tests/test_crash_attribution.py
@@ -168,7 +168,7 @@
     """Let a worker crash with all its runs."""
     assert worker is not None
     load = pool.loads[worker]
-    pool.note_silence(load, 0.0)
+    pool.note_unresponsive(load, 0.0)
     pool.note_lost_runs(load)
     pool.drop_worker(worker)
 
@@ -228,14 +228,14 @@
     def test_silence_alone_leaves_no_sole_suspect(self) -> None:
         prove(self.old, self.new)
         load = self.pool.loads[WorkerId("w-1")]
-        self.pool.note_silence(load, 0.0)
+        self.pool.note_unresponsive(load, 0.0)
         self.pool.note_lost_runs(load, ended=False)
         self.assertFalse(self.newer.losses[0].sole_suspect)
 
     def test_the_loss_of_a_rack_leaves_no_sole_suspect(self) -> None:
         self.pool.add_worker(make_worker("w-2")).reachable = True
         prove(self.old, self.new)
-        self.pool.note_silence(self.pool.loads[WorkerId("w-2")], 0.5)
+        self.pool.note_unresponsive(self.pool.loads[WorkerId("w-2")], 0.5)
         lose(self.pool, self.worker)
         self.assertFalse(self.newer.losses[0].sole_suspect)
 
@@ -248,7 +248,7 @@
         run_all(self.pool)
         self.assertIn(other_job.tasks[0], other.tasks)
         prove(self.old, self.new)
-        self.pool.note_silence(other, 0.5)
+        self.pool.note_unresponsive(other, 0.5)
         lose(self.pool, self.worker)
         self.assertTrue(self.newer.losses[0].sole_suspect)
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -445,7 +445,7 @@
     def test_only_workers_with_a_ticket_are_used_while_it_holds(self) -> None:
         pool = make_pool(make_worker("w-1"), make_worker("w-2"))
         job = submit(pool, make_record(StepRecord(count=2, cpu_millis=1)))
-        job.advised = True
+        job.needs_tickets = True
         self.assertEqual([], pool.place(0.0, 0.0))
         job.groups[0].tickets = {WorkerId("w-2"): ("t", 5.0)}
         self.assertEqual([], pool.place(5.0, 0.0))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -104,7 +104,7 @@
         self.assertTrue(limits.allows(account, TWO_TASKS, monotonic()))
 
     async def test_a_start_with_an_expired_ticket_is_not_ordered(self) -> None:
-        self.task.job.advised = True
+        self.task.job.needs_tickets = True
         await self.session.starts.order(self.task, 1)
         self.assertEqual(0, self.owner.orders.starts)
 
