--- a/pumicespur/maintenance/_fleet_leader.py
+++ b/pumicespur/maintenance/_fleet_leader.py
@@ -191,7 +191,7 @@
             )
 
     def _max_instance_cpu_millis(self) -> int:
-        """Return the processor time of the largest instance, in thousandths of a core."""
+        """Return the processor capacity of the largest instance, in thousandths of a core."""
         return max(instance.capacity.cpu_millis for instance in self.instances.values())
 
     def _forecast_workers(self, pools: Iterable[PoolId]) -> dict[PoolId, int]:
@@ -256,7 +256,7 @@
             case Result(error=NeverDone(reason=reason)):
                 self.rejected_moves.add((name, pool))
                 del self.moving[name]
-                log.warning("instance not movable", instance=name, pool=pool, reason=reason)
+                log.warning("move rejected by platform", instance=name, pool=pool, reason=reason)
             case Result(error=Unavailable(reason=reason)):
                 del self.moving[name]
                 log.warning("instance not moved", instance=name, pool=pool, reason=reason)
--- a/pumicespur/maintenance/_intents.py
+++ b/pumicespur/maintenance/_intents.py
@@ -47,12 +47,12 @@
         orders, unless the validity of an intent allows them earlier."""
         self.validity_s = validity_s
         """How long an intent matters to the next fleet leader, in seconds."""
-        self.reserved: dict[InstanceId, float] = {}
+        self.blocked_until: dict[InstanceId, float] = {}
         """Instances for which earlier fleet leaders may have just given orders, with the monotonic
         time from which they may get another one."""
         self.recent: deque[tuple[float, OrderIntent]] = deque()
         """Intents with their monotonic time in seconds, oldest first."""
-        self.announced_at = float("-inf")
+        self.write_began_at = float("-inf")
         """Monotonic time in seconds at which the newest call of `announce` began."""
 
     async def load(self) -> None:
@@ -67,8 +67,8 @@
             self.recent.append((now, intent))
             until = self._expires_at(intent, now)
             for name in intent.instances:
-                known = self.reserved.get(InstanceId(name), until)
-                self.reserved[InstanceId(name)] = max(known, until)
+                known = self.blocked_until.get(InstanceId(name), until)
+                self.blocked_until[InstanceId(name)] = max(known, until)
 
     def _expires_at(self, intent: OrderIntent, now: float) -> float:
         """Return when an intent's instances may get another order (monotonic seconds)."""
@@ -77,18 +77,19 @@
             return self.orders_from
         recorded_at = now + (intent.recorded_ms - clock.at_least_ms(now)) / 1000
         if intent.process == self.process:
-            # An earlier incarnation of this process sends no more orders, and there was no other
-            # leader whose orders could interleave with them, so the lease need not expire.
+            # The intent is that of an earlier leader in this process, such as one of an earlier
+            # incarnation, which sends no more orders. So they can't interleave with the orders of
+            # this leader, and the lease between leaders need not expire.
             return recorded_at + MAX_PROOF_AGE_S + DELAYED_ORDER_MARGIN_S
         return min(self.orders_from, recorded_at + self.validity_s)
 
     async def announce(self, names: set[InstanceId]) -> None:
-        """Record the instances that get orders next; this also proves the leadership.
+        """Write the intent for the instances that get orders next; this also proves the leadership.
 
         Without a change an empty commit is the proof, and the recorded intents stay as they are.
         """
         now = monotonic()
-        self.announced_at = now
+        self.write_began_at = now
         previous_count = len(self.recent)
         while self.recent and now - self.recent[0][0] > self.validity_s:
             self.recent.popleft()
@@ -107,9 +108,9 @@
 
     def is_proof_fresh(self) -> bool:
         """Whether leadership was proved, and the intent recorded, recently enough for an order."""
-        since = min(self.journal.confirmed_at, self.announced_at)
+        since = min(self.journal.confirmed_at, self.write_began_at)
         return monotonic() - since <= MAX_PROOF_AGE_S
 
     def may_order(self, name: InstanceId) -> bool:
         """Whether earlier fleet leaders' orders for an instance are old enough."""
-        return monotonic() >= self.reserved.get(name, 0.0)
+        return monotonic() >= self.blocked_until.get(name, 0.0)
--- a/pumicespur/maintenance/_peaks.py
+++ b/pumicespur/maintenance/_peaks.py
@@ -137,7 +137,8 @@
     def expected_pool(self, pools: Iterable[PoolId], now_ms: int, lead_ms: float) -> PoolId | None:
         """Return the pool whose peak is forecast within the lead time or has just become due.
 
-        Return None without a forecast, or if several pools may be next.
+        Return None if there is no forecast, if not exactly one pool may be next, or if the newest
+        peak's pool did not follow the same pool as the last time.
         """
         start_ms = self.next_start_ms()
         candidates = self.next_pools(pools)
--- a/pumicespur/maintenance/_rebalancing.py
+++ b/pumicespur/maintenance/_rebalancing.py
@@ -104,18 +104,19 @@
             )
         }
 
-    def _lendable_by_pool(self, state: RebalanceInput) -> dict[PoolId, list[Instance]]:
-        """Return each pool's instances without work, for pools whose peak starts.
+    def _releasable_by_pool(self, state: RebalanceInput) -> dict[PoolId, list[Instance]]:
+        """Return the instances that each pool can give to a pool whose peak starts.
 
-        Instances whose tasks an availability budget protects are left out.
+        They are those beyond both the number that the pool retains and what its work needs, without
+        those whose tasks an availability budget protects.
         """
-        lendable: dict[PoolId, list[Instance]] = {}
+        releasable: dict[PoolId, list[Instance]] = {}
         for pool, reserved in state.reserved.items():
             retained = max(math.ceil(RETAINED_RATIO * reserved), min(reserved, MIN_RETAINED))
             kept = max(retained, _busy_workers(state, pool))
             found = self._instances_beyond(state, pool, kept)
-            lendable[pool] = [i for i in found if i.id not in state.protected]
-        return lendable
+            releasable[pool] = [i for i in found if i.id not in state.protected]
+        return releasable
 
     def _instances_beyond(self, state: RebalanceInput, pool: PoolId, kept: int) -> list[Instance]:
         """Return a pool's instances beyond a number, the cheapest to move first."""
@@ -144,7 +145,7 @@
     ) -> None:
         """Send instances to pools that are short, from the spare pool first."""
         spare = [i for pool in sorted(state.spare_pools) for i in _members(state, pool)]
-        lendable = self._lendable_by_pool(state)
+        releasable = self._releasable_by_pool(state)
         max_moving = _max_moving(state)
         missing = {pool: _missing(state, pool) for pool in state.reserved}
         for pool in sorted(missing, key=lambda pool: -missing[pool]):
@@ -154,7 +155,7 @@
                     return
                 found = self._pick_instance(state, pool, spare, surplus, plan)
                 if found is None and number < missing_for_work:
-                    found = self._pick_instance(state, pool, [], lendable, plan)
+                    found = self._pick_instance(state, pool, [], releasable, plan)
                 if found is None:
                     break
                 if found.id in state.empty:
@@ -170,6 +171,7 @@
         available: dict[PoolId, list[Instance]],
         plan: MovePlan,
     ) -> Instance | None:
+        """Remove and return an instance for a pool, from `spare` first; None if there is none."""
         for instance in spare:
             if (instance.id, pool) not in state.rejected_moves:
                 spare.remove(instance)
--- a/pumicespur/maintenance/_wave_execution.py
+++ b/pumicespur/maintenance/_wave_execution.py
@@ -101,7 +101,7 @@
         progress = WaveProgress(self.view.waves[number])
         progress.confirmed = {InstanceId(name) for name in record.ordered}
         progress.completed = record.completed
-        progress.possibly_down = set(self.intents.reserved) & set(progress.wave.instances)
+        progress.possibly_down = set(self.intents.blocked_until) & set(progress.wave.instances)
         progress.possibly_down_until = self.intents.orders_from + self.settings.fleet.maintenance_s
         self.waves[number] = progress
         if not progress.completed:
--- a/pumicespur/maintenance/_wave_progress.py
+++ b/pumicespur/maintenance/_wave_progress.py
@@ -64,14 +64,16 @@
 ) -> list[InstanceId]:
     """Choose the instances to evacuate so that as many as allowed are evacuating or down.
 
-    Instances without tasks go first. Pools contribute evenly: each gives up the instances that its
-    owner doesn't need, and at least `MAX_DOWN_RATIO` of its size.
+    Instances without tasks go first, then those of pools with fewer instances evacuating or down,
+    so that pools contribute evenly. An instance with tasks goes only while its pool has fewer such
+    instances than its owner doesn't need or `MAX_DOWN_RATIO` of its size, whichever is more; at
+    least one may go.
     """
     sizes = Counter(i.pool for i in instances.values() if i.state is InstanceState.UP)
     down = progress.down(instances, now)
     away = {name for name in [*progress.evacuating, *down] if name in instances}
     away_by_pool: Counter[PoolId] = Counter(instances[name].pool for name in away)
-    free_places = progress.wave.max_parallel - len(away)
+    free_slots = progress.wave.max_parallel - len(away)
     waiting = [
         instance
         for instance in progress.remaining(instances)
@@ -83,7 +85,7 @@
         if name in instances and instances[name].state is not InstanceState.UP
     )
     chosen: list[InstanceId] = []
-    while free_places > 0 and waiting:
+    while free_slots > 0 and waiting:
         instance = min(
             waiting, key=lambda i: (i.id not in empty, away_by_pool[i.pool], i.rack, i.id)
         )
@@ -95,5 +97,5 @@
             continue
         away_by_pool[instance.pool] += 1
         chosen.append(instance.id)
-        free_places -= 1
+        free_slots -= 1
     return chosen
--- a/pumicespur/node/_heartbeats.py
+++ b/pumicespur/node/_heartbeats.py
@@ -61,7 +61,7 @@
         self.table = table
         self.roles = roles
         self.incarnation = incarnation
-        self.me = ProcessId(settings.process.id)
+        self.process_id = ProcessId(settings.process.id)
         self.number = 0
         self.announced: tuple[bool, dict[PoolId, int]] | None = None
         """The stop and the given-up pools that were last announced to all processes."""
@@ -90,17 +90,17 @@
             self.heartbeat_due = anyio.Event()
             await self._write_heartbeat()
             await anyio.sleep(MIN_WRITE_INTERVAL_S)
-            often = self.roles.owned or self.failing
-            pause_s = self.settings.store.heartbeat_s if often else self.idle_interval_s()
+            is_frequent = self.roles.owned or self.failing
+            pause_s = self.settings.store.heartbeat_s if is_frequent else self.idle_interval_s()
             with anyio.move_on_after(pause_s - MIN_WRITE_INTERVAL_S):
                 await self.heartbeat_due.wait()
 
     async def _write_heartbeat(self) -> None:
         self.number += 1
-        news = (self.roles.stopping, dict(self.roles.given_up))
-        for_all = bool(self.roles.owned) or news != self.announced
+        announcement = (self.roles.stopping, dict(self.roles.given_up))
+        is_for_all = bool(self.roles.owned) or announcement != self.announced
         record = HeartbeatRecord(
-            process=self.me,
+            process=self.process_id,
             incarnation=self.incarnation,
             data_hall=self.settings.process.data_hall,
             capacity=self.settings.cpu_capacity,
@@ -109,11 +109,11 @@
             configuration_version=max(0, self.view.configuration.version),
             given_up=[GivenUp(pool=p, fencing_token=t) for p, t in self.roles.given_up.items()],
         )
-        key = process_row_key(HEARTBEATS_TABLE if for_all else PRESENCE_TABLE, self.me)
+        key = process_row_key(HEARTBEATS_TABLE if is_for_all else PRESENCE_TABLE, self.process_id)
         written = await self.table.transact(Transaction([], [Write(key, record.to_binary())]))
         if written.is_ok():
             self._note_written(monotonic(), written.ok)
-            self.announced = news if for_all else self.announced
+            self.announced = announcement if is_for_all else self.announced
         else:
             self.failing = True
             log.warning("heartbeat failed", reason=str(written.error))
@@ -132,9 +132,9 @@
         return PRESENCE_TIMEOUT_FACTOR * self.idle_interval_s()
 
     def version_before(self, since: float) -> int | None:
-        """Return a version that the store had at a monotonic time, else the oldest known one after.
+        """Return a store version from before a monotonic time, to request the changes since then.
 
-        Changes since that time are requested by it. None before the first heartbeat is written.
+        If none is that old, return the oldest known one; before the first heartbeat, return None.
         """
         before = [version for at, version in self.versions if at <= since]
         if before:
@@ -156,13 +156,13 @@
         now = monotonic()
         clock = self.table.clock
         record = DutyReport(
-            process=self.me,
+            process=self.process_id,
             pools=[owner.report() for owner in self.roles.pool_owners() if owner.ready],
             evacuations=[] if leader is None else list(leader.workers_to_evacuate()),
             fleet_token=0 if leader is None else leader.ownership.token,
             told_ms=clock.at_least_ms(now) if clock.known else 0,
         )
-        write = Write(process_row_key(REPORTS_TABLE, self.me), record.to_binary())
+        write = Write(process_row_key(REPORTS_TABLE, self.process_id), record.to_binary())
         written = await self.table.transact(Transaction([], [write]))
         if written.is_error():
             log.warning("report failed", reason=str(written.error))
--- a/pumicespur/node/_ownership_controller.py
+++ b/pumicespur/node/_ownership_controller.py
@@ -65,7 +65,7 @@
         self.orders = orders
         self.fleet_orders = fleet_orders
         self.incarnation = incarnation
-        self.me = ProcessId(settings.process.id)
+        self.process_id = ProcessId(settings.process.id)
         self.started_at = monotonic()
         self.roles = OwnedRoles()
         self.heartbeats = HeartbeatWriter(settings, view, table, self.roles, incarnation)
@@ -174,7 +174,7 @@
 
     async def _take_over(self, pool: PoolId, owner: SeenOwner) -> None:
         record = OwnerRecord(
-            process=self.me,
+            process=self.process_id,
             incarnation=self.incarnation,
             leases_until_ms=self.predecessors.leases_until_ms(pool, owner, monotonic()),
         )
@@ -189,10 +189,10 @@
                 self.view.owners[pool] = SeenOwner(record, token, now)
                 self.takeover_policy.note_owned(pool)
                 self._start_owner(pool, owner, token, now)
-            case Result(error=fault):
+            case Result(error=error):
                 # If the store applied the takeover nevertheless, the row names this process, and
                 # the pool is taken again at the next check.
-                log.info("pool not taken", pool=pool, reason=str(fault))
+                log.info("pool not taken", pool=pool, reason=str(error))
                 self.view.owners.pop(pool, None)
 
     def _start_owner(self, pool: PoolId, previous: SeenOwner, token: int, now: float) -> None:
--- a/pumicespur/node/_predecessors.py
+++ b/pumicespur/node/_predecessors.py
@@ -1,10 +1,10 @@
 """Bounds how long leases granted by a pool's previous owners may still run.
 
-An owner that is cut off from the store goes on renewing leases for a while, and its successor
-cannot see that for a worker that it does not reach. The successor waits for these leases to
-expire, unless the previous owner is known to renew no more. The owner's row carries the bound for
-all older owners. Otherwise each takeover would restart the wait of 12 s for the tasks of a lost
-worker, or cut it short where the last owner is known to be gone and an older one is not.
+An owner that is cut off from the store goes on renewing leases for a while. Its successor cannot
+observe this on workers that it does not reach, so it waits for these leases to expire, unless the
+previous owner is known to renew no more. The owner's row carries the latest expiry for all older
+owners. Without it, each takeover would restart the wait of 12 s for the tasks of a lost worker, or
+end it too early if the last owner is known to be gone and an older one is not.
 """
 
 from __future__ import annotations
@@ -76,7 +76,10 @@
 
 
 def _has_stopped_renewing(seen: SeenProcess, pool: PoolId, owner: SeenOwner) -> bool:
-    """Return whether a heartbeat sent after the takeover shows that the owner renews no leases."""
+    """Return whether an owner's heartbeat shows that it renews no more leases on a pool.
+
+    Only a heartbeat sent after that owner took the pool counts.
+    """
     if seen.version <= owner.token:
         return False
     heartbeat = seen.heartbeat
--- a/pumicespur/node/_process.py
+++ b/pumicespur/node/_process.py
@@ -117,7 +117,7 @@
         self.stop_requested = anyio.Event()
 
     async def run(self) -> None:
-        """Serve until a signal requests a stop, then stop without losing anything."""
+        """Serve until a signal requests a stop, then release all pools, finish requests and end."""
         settings = self.settings
         self.store_client = HttpClient(STORE_CONNECTIONS)
         self.order_client = HttpClient(ORDER_CONNECTIONS)
@@ -181,10 +181,13 @@
                     self.stop_requested.set()
 
     async def _drain(self) -> None:
-        """Hand pools over, then serve callers until they have gone elsewhere."""
+        """Release all pools, then serve callers until they use other processes.
+
+        Requests in flight are finished, as far as the grace period allows.
+        """
         started = monotonic()
-        last = started + self.settings.process.stop_grace_s - SHUTDOWN_RESERVE_S
-        with anyio.move_on_after(last - started):
+        deadline = started + self.settings.process.stop_grace_s - SHUTDOWN_RESERVE_S
+        with anyio.move_on_after(deadline - started):
             await self.controller.stop()
             await anyio.sleep(max(0.0, started + DEREGISTRATION_DELAY_S - monotonic()))
             while self.server.in_flight:
@@ -304,7 +307,7 @@
         Other processes may serve a route that is unknown here, or may have dropped a known one.
         """
         now = monotonic()
-        behind_s = max(self.view.configuration_behind_s(now), self.operators.failing_s(now))
+        behind_s = max(self.view.configuration_behind_s(now), self.operators.failing_for_s(now))
         outdated = behind_s > self.settings.process.configuration_ms / 1000 * OUTDATED_RATIO
         if outdated != self.outdated:
             self.outdated = outdated
@@ -346,6 +349,6 @@
         match found:
             case Result(tag="ok", ok=row):
                 return count_waiting(row, route, self.table.clock, MAX_WAITING_AGE_S)
-            case Result(error=fault):
-                log.info("waiting jobs not read", route=route.name, reason=str(fault))
+            case Result(error=error):
+                log.info("waiting jobs not read", route=route.name, reason=str(error))
                 return None
--- a/pumicespur/node/_process_tracker.py
+++ b/pumicespur/node/_process_tracker.py
@@ -94,7 +94,8 @@
     def make_owners_follower(self) -> TableFollower:
         """Return a follower of takeovers and releases.
 
-        Each pool or process has a part of its own, so a scan of the empty part returns no rows.
+        Each pool or process has a partition of its own, so a scan, which reads the empty one,
+        returns no rows.
         """
         return TableFollower(
             self.table,
@@ -137,20 +138,20 @@
         """Read the reports of all owners, one by one."""
         owners = {ProcessId(owner.record.process) for owner in self.view.owners.values()}
         rows: list[Row] = []
-        faults: list[Fault] = []
+        errors: list[Fault] = []
 
         async def read(process: ProcessId) -> None:
             response = await self.table.read(process_row_key(REPORTS_TABLE, process))
             match response:
                 case Result(tag="ok", ok=row):
                     rows.append(row)
-                case Result(error=fault):
-                    faults.append(fault)
+                case Result(error=error):
+                    errors.append(error)
 
         async with anyio.create_task_group() as tasks:
             for process in owners:
                 tasks.start_soon(read, process)
-        return Error(faults[0]) if faults else Ok(Page(rows, 0))
+        return Error(errors[0]) if errors else Ok(Page(rows, 0))
 
     def _poll_interval_s(self) -> float:
         if self.roles.owned:
@@ -164,8 +165,9 @@
     def is_receiving(self, now: float) -> bool:
         """Return whether the last poll for heartbeats succeeded within the usual time.
 
-        Missing heartbeats prove nothing while polls fail. An outage of two seconds, with a single
-        response in the middle, made all owners look silent for longer than the failure timeout.
+        Missing heartbeats prove nothing while polls fail: in an outage of two seconds, a single
+        response in the middle would make all owners seem silent for longer than the failure
+        timeout.
         """
         usual_s = self._poll_interval_s() + self._wait_s() + POLL_SLACK_S
         return (
@@ -225,8 +227,8 @@
             case Result(tag="ok", ok=page):
                 for row in page.rows:
                     self.apply_heartbeat(row, monotonic())
-            case Result(error=fault):
-                log.info("presence not read", reason=str(fault))
+            case Result(error=error):
+                log.info("presence not read", reason=str(error))
 
     def apply_reports(self, rows: Sequence[Row], whole: bool) -> None:
         """Apply the reports of owners."""
--- a/pumicespur/node/_table_follower.py
+++ b/pumicespur/node/_table_follower.py
@@ -56,8 +56,9 @@
     whole: bool
     """Whether the response holds all rows of the table."""
     max_age_s: float = math.inf
-    """Age, in seconds, from which the known rows are of no use; a response that would come later is
-    not waited for. Such rows change all the time, so a response without rows proves nothing."""
+    """Age, in seconds, from which the known rows are of no use; a later response is not waited for.
+    If it is finite, the rows are taken to change all the time, so a response without changes does
+    not show that they are known up to its version."""
 
 
 class TableFollower:
@@ -92,12 +93,12 @@
         self.expedited = anyio.Event()
         self.responded_at = monotonic()
         self.progress = TableProgress()
-        """The version up to which the table is known."""
+        """The version up to which the table is known, and as of when."""
         self.newest_row = 0
         """Version of the newest row that was read."""
 
     def expedite(self) -> None:
-        """End the present pause, since the newest rows are waited for."""
+        """End the current pause, since the newest rows are needed now."""
         self.expedited.set()
 
     async def run(self) -> None:
@@ -126,8 +127,8 @@
                     version = None
                 case Result(error=AnswerLost()) if self.fallback and self.table.is_responding():
                     await self._read_fallback(self.fallback)
-                case Result(error=fault):
-                    self._note_connected(False, str(fault))
+                case Result(error=error):
+                    self._note_connected(False, str(error))
                     await anyio.sleep(RETRY_DELAY_S)
                     if monotonic() - self.responded_at > self.rescan_policy.after_s:
                         version = None
@@ -157,8 +158,8 @@
                 self.responded_at = monotonic()
                 self._note_progress(page, asked_at, whole=True)
                 self.on_rows(page.rows, fallback.whole)
-            case Result(error=fault):
-                self._note_connected(False, str(fault))
+            case Result(error=error):
+                self._note_connected(False, str(error))
                 await anyio.sleep(RETRY_DELAY_S)
 
     async def _scan(self) -> Result[Page, Fault]:
@@ -168,22 +169,22 @@
         return self.fallback.max_age_s if self.fallback else math.inf
 
     def _is_refresh_due(self) -> bool:
-        """Return whether the known rows have reached half of their maximum age."""
+        """Return whether to read the rows by the fallback, before they reach their maximum age."""
         return self.progress.age_s(monotonic()) > self._max_age_s() / 2
 
     def _note_progress(self, page: Page, asked_at: float, whole: bool) -> None:
-        """Note the version known; a truncated response proves nothing newer."""
-        proves_nothing = not page.rows and not whole and self._max_age_s() < math.inf
-        if page.complete and not proves_nothing:
+        """Note the version known, and as of when, if the response is complete and conclusive."""
+        is_inconclusive = not page.rows and not whole and self._max_age_s() < math.inf
+        if page.complete and not is_inconclusive:
             self.progress = TableProgress(page.version, asked_at)
 
     def _should_rescan(self, page: Page) -> bool:
         """Return whether to scan the table at once, which is repeated until nothing is new."""
         newest_row = max((row.version for row in page.rows), default=0)
-        has_news = newest_row > self.newest_row
+        has_newer_rows = newest_row > self.newest_row
         self.newest_row = max(self.newest_row, newest_row)
         may_be_outdated = page.superseded > 0 or page.receiving_s > SLOW_RESPONSE_S
-        return self.rescan_policy.when_outdated and has_news and may_be_outdated
+        return self.rescan_policy.when_outdated and has_newer_rows and may_be_outdated
 
     def _note_connected(self, connected: bool, reason: str) -> None:
         if connected == (self.failing_since is None):
@@ -195,6 +196,6 @@
             self.failing_since = monotonic()
             log.warning("table not followed", table=self.name, reason=reason)
 
-    def failing_s(self, now: float) -> float:
+    def failing_for_s(self, now: float) -> float:
         """Return for how long reads of the table have failed, in seconds."""
         return 0.0 if self.failing_since is None else now - self.failing_since
--- a/pumicespur/node/_tables.py
+++ b/pumicespur/node/_tables.py
@@ -19,8 +19,8 @@
 
 
 def process_row_key(table: str, process: ProcessId) -> str:
-    """Return the key of a process's row, which is in a part of its own.
+    """Return the key of a process's row, which is in a partition of its own.
 
-    A slow store processes the writes to one part one after the other.
+    A slow store processes the writes to one partition one after the other.
     """
     return f"{table}/{process}/newest"
--- a/pumicespur/node/_takeover_policy.py
+++ b/pumicespur/node/_takeover_policy.py
@@ -13,8 +13,8 @@
     from pumicespur.view import FleetView, SeenOwner, SeenProcess
 
 SLOW_RESPONSE_FACTOR = 3.0
-"""How many times the slowest recent store response extends the failure timeout: a heartbeat is
-written, waited for and read through the same store."""
+"""Multiple of the slowest recent store response by which the failure timeout is extended: a
+heartbeat is written, waited for and read through the same store."""
 
 MAX_SLOW_RESPONSE_DELAY_S = 2.0
 """Limit of that extension, since the tasks of a dead owner wait for the takeover."""
@@ -40,31 +40,31 @@
         self.response_times = response_times
         self.presence_timeout_s = presence_timeout_s
         """Time without a heartbeat after which a process that owns nothing counts as gone."""
-        self.me = ProcessId(settings.process.id)
+        self.process_id = ProcessId(settings.process.id)
         self.vacant_since: dict[PoolId, float] = {}
         """When each pool was first found to lack an owner (monotonic seconds)."""
 
     def is_own_record(self, owner: SeenOwner) -> bool:
         """Return whether the row names this process, perhaps an earlier incarnation, as owner.
 
-        Such a pool is taken back at once. Either an earlier incarnation owned it, or a takeover
-        was applied by the store after the call had timed out. No other process takes the pool,
-        since the others see a live owner, and all of its tasks wait. Pools therefore come back at
-        once after all processes were lost.
+        Such a pool is taken back at once: either an earlier incarnation owned it, or the store
+        applied a takeover after its call had timed out. No other process would take it, since this
+        one seems alive, and all of its tasks would wait. So pools come back at once also after all
+        processes were lost.
         """
         record = owner.record
-        return bool(owner.token) and not record.released and record.process == self.me
+        return bool(owner.token) and not record.released and record.process == self.process_id
 
     def is_owner_alive(self, owner: SeenOwner, received_at: float) -> bool:
         """Return whether a pool's owner is alive, as far as its heartbeats show.
 
-        `received_at` is when heartbeats were last received from the store (monotonic seconds).
-        Silence is counted only up to then, since no heartbeat can arrive during an outage of the
-        store. Otherwise a busy pool was taken from a live owner two seconds into an outage, and
-        nothing was placed there until the store returned.
+        `received_at` is when the store last responded to a poll for heartbeats, also with none
+        (monotonic seconds). Time without heartbeats is counted only up to then, since none can
+        arrive during an outage of the store. Otherwise a busy pool would be taken from a live owner
+        two seconds into an outage, and nothing placed there until the store responds again.
         """
         record = owner.record
-        if not owner.token or record.released or record.process == self.me:
+        if not owner.token or record.released or record.process == self.process_id:
             return False
         # The takeover itself shows that the owner lived; its first heartbeat may be under way.
         since = max(owner.seen_at, self.view.gapless_since)
@@ -92,23 +92,28 @@
     def is_turn(self, pool: PoolId, now: float) -> bool:
         """Return whether it is this process's turn to take a pool without an owner."""
         vacant_s = now - self.vacant_since.setdefault(pool, now)
-        return vacant_s >= CANDIDATE_DELAY_S * self.rank_candidates(pool, now).index(self.me)
+        return vacant_s >= CANDIDATE_DELAY_S * self.rank_candidates(pool, now).index(
+            self.process_id
+        )
 
     def rank_candidates(self, pool: PoolId, now: float) -> list[ProcessId]:
         """Return the processes that may take a pool, the least loaded for its capacity first."""
         stopping = self._stopping_processes()
-        sizes = {
+        capacities = {
             process: seen.heartbeat.capacity or 1.0
             for process, seen in self.view.processes.items()
             if self._is_alive(seen, now) and process not in stopping
         }
-        sizes.setdefault(self.me, self.settings.cpu_capacity)
-        counts = dict.fromkeys(sizes, 0)
+        capacities.setdefault(self.process_id, self.settings.cpu_capacity)
+        owned_counts = dict.fromkeys(capacities, 0)
         for other, owner in self.view.owners.items():
             process = ProcessId(owner.record.process)
-            if other != pool and process in counts and not owner.record.released:
-                counts[process] += 1
-        return sorted(counts, key=lambda p: ((counts[p] + 1) / sizes[p], _tie_breaker(pool, p)))
+            if other != pool and process in owned_counts and not owner.record.released:
+                owned_counts[process] += 1
+        return sorted(
+            owned_counts,
+            key=lambda p: ((owned_counts[p] + 1) / capacities[p], _tie_breaker(pool, p)),
+        )
 
     def _is_alive(self, seen: SeenProcess, now: float) -> bool:
         since = max(seen.seen_at, self.view.gapless_since)
--- a/pumicespur/node/_workers.py
+++ b/pumicespur/node/_workers.py
@@ -111,9 +111,9 @@
         if whole:
             self.entries.clear()
         for row in rows:
-            _, part, name = row.key.split("/", 2)
-            if part:
-                # Workers write to the empty part; rows of other parts are unrelated.
+            _, partition, name = row.key.split("/", 2)
+            if partition:
+                # Workers write to the empty partition; rows of other partitions are unrelated.
                 continue
             self._apply_entry(WorkerName(name), row)
         self.view.workers = usable_workers(self.entries)
@@ -140,10 +140,11 @@
 
 
 def usable_workers(entries: Mapping[WorkerName, Worker]) -> dict[WorkerName, Worker]:
-    """Return the entries written by workers themselves, judged by their incarnations' start times.
+    """Return the entries that workers wrote themselves.
 
-    Where most entries have a start time, those without one come from other writers. Where workers
-    report none, the platform gives each incarnation a name of its own.
+    If at least half of the entries have a start time in the id of the incarnation, those without
+    one are taken to come from other writers and left out. Otherwise all entries are returned:
+    workers then report no start times, and the platform gives each incarnation a name of its own.
     """
     with_start_time = {
         name: worker for name, worker in entries.items() if start_time_ms(worker.id) is not None
--- a/pumicespur/view/_view.py
+++ b/pumicespur/view/_view.py
@@ -60,12 +60,13 @@
     seconds)."""
     waves: dict[int, Wave] = field(default_factory=dict)
     workers: dict[WorkerName, Worker] = field(default_factory=dict)
-    """Followed only while this process owns a pool; `reports`, while it holds a role."""
+    """Followed only while this process owns a pool; empty otherwise."""
     workers_known: bool = False
     workers_progress: TableProgress = field(default_factory=TableProgress)
     """The version up to which the list of workers is known, and as of when."""
     processes: dict[ProcessId, SeenProcess] = field(default_factory=dict)
     reports: dict[ProcessId, SeenReport] = field(default_factory=dict)
+    """Followed only while this process owns a pool or is the fleet leader; empty otherwise."""
     owners: dict[PoolId, SeenOwner] = field(default_factory=dict)
     earlier_pools: dict[RouteName, set[PoolId]] = field(default_factory=dict)
     """Earlier pools of each route, by the configurations in force since this process started."""
@@ -119,7 +120,10 @@
         return now - min(self.newer_versions.values(), default=now)
 
     def other_pools(self, route: Route, earlier: bool) -> list[PoolId]:
-        """Return pools other than a route's own: its earlier ones, or all that need an owner."""
+        """Return pools other than a route's own.
+
+        They are the route's earlier ones if `earlier` is set, else all that need an owner.
+        """
         known = self.earlier_pools.get(route.name, set()) if earlier else set(self.pools())
         return sorted(known - {route.pool})
 
--- a/tests/test_fleet_leader.py
+++ b/tests/test_fleet_leader.py
@@ -241,7 +241,7 @@
 
     def may_order_after(self, log: IntentLog) -> float:
         """Return how long the instance is left alone, in seconds."""
-        return log.reserved[self.name] - monotonic()
+        return log.blocked_until[self.name] - monotonic()
 
     async def test_wait_counts_from_the_intent(self) -> None:
         # Instances that had moved to the spare pool before a takeover stayed idle for 4.5 s
@@ -279,5 +279,5 @@
         log = await self.become_leader("first")
         await log.announce({self.name})
         self.assertTrue(log.is_proof_fresh())
-        log.announced_at -= 1.5
+        log.write_began_at -= 1.5
         self.assertFalse(log.is_proof_fresh())
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -145,7 +145,7 @@
             self.receive_heartbeat(name, capacity=0.5)
         pools = [PoolId(f"pool-{number}") for number in range(20)]
         here = [self.successor(pool) for pool in pools]
-        self.takeover_policy.me = ProcessId("second")
+        self.takeover_policy.process_id = ProcessId("second")
         self.assertEqual(here, [self.successor(pool) for pool in pools])
         self.assertGreater(len(set(here)), 1)
 
