--- a/pumicespur/commands/node.py
+++ b/pumicespur/commands/node.py
@@ -15,9 +15,9 @@
     # SIGHUP asks for the settings to be read again, which is pointless while the process loads.
     # Unhandled, it would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Both shorten the start, from 0.56 s to 0.43 s on half a core of double speed. Importing leaves
-    # no garbage to collect, and aiohttp loads the system's certificates on import, although this
-    # process makes no TLS calls.
+    # The next two lines shorten the start from 0.56 s to 0.43 s on half a core of double speed:
+    # importing leaves no garbage to collect, and aiohttp loads the system's certificates on import,
+    # although this process makes no TLS calls.
     gc.disable()
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
--- a/pumicespur/config/_node_settings.py
+++ b/pumicespur/config/_node_settings.py
@@ -37,7 +37,7 @@
 
     @property
     def cpu_capacity(self) -> float:
-        """Return the CPU capacity of the process, in cores of the smallest instance."""
+        """The CPU capacity of the process, in cores of the smallest instance."""
         return self.process.cpu_share * self.process.cpu_speed
 
     def sections(self) -> dict[str, Message[Any]]:
--- a/pumicespur/connect/_client.py
+++ b/pumicespur/connect/_client.py
@@ -16,7 +16,7 @@
 
 from pumicespur.schema import platform_pb as pb
 from pumicespur.schema.platform_connect import PlatformClient as Stub
-from pumicespur.store._faults import AnswerLost, Conflict, Fault, Unavailable
+from pumicespur.store._errors import AnswerLost, Conflict, Fault, Unavailable
 from pumicespur.store._rows import Listing, Row, Transaction, UsageListing, Write
 from pumicespur.utils import monotonic
 
--- a/pumicespur/model/_accounts.py
+++ b/pumicespur/model/_accounts.py
@@ -30,8 +30,8 @@
 
     id: AccountId
     weight: float
-    """Jobs per second that take precedence over what other accounts send beyond their own weight; 0
-    for any number."""
+    """Rate in jobs per second. Jobs within it take precedence over jobs of other accounts that
+    exceed theirs; 0 means that all jobs count as within it."""
     limit: Capacity
     """Max capacity that the account's tasks may use over all workers; 0 for no limit."""
 
--- a/pumicespur/operators/_service.py
+++ b/pumicespur/operators/_service.py
@@ -186,7 +186,7 @@
     async def _append(self, build: Callable[[Fleet], Record | None]) -> int:
         match await self.replica.append(build):
             case Result(tag="ok", ok=revision):
-                log.info("operator's call answered", revision=revision)
+                log.info("operator request completed", revision=revision)
                 return revision
             case Result(error=Uncertain(token=token)):
                 text = f"the table service's answer was lost; the change may hold (token {token})"
--- a/pumicespur/peers/_links.py
+++ b/pumicespur/peers/_links.py
@@ -38,8 +38,8 @@
 log = Logger(__name__)
 
 REPLY_TIMEOUT_MS = 1000
-SERVER_TASKS = 4
-"""Max number of requests of peers that are handled at the same time."""
+MAX_PARALLEL_REQUESTS = 4
+"""Max number of peers' requests that are handled at the same time."""
 
 SEED_PEERS_DELAY_S = 3.0
 """Time without a response of the table service after which to link to the peers in the settings."""
@@ -85,9 +85,9 @@
         """Handle peers' requests and maintain the links, until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
-                for _ in range(SERVER_TASKS):
+                for _ in range(MAX_PARALLEL_REQUESTS):
                     tasks.start_soon(self._serve)
-                tasks.start_soon(self._keep_links)
+                tasks.start_soon(self._maintain_links)
         finally:
             self._listener.close()
 
@@ -128,7 +128,7 @@
             self.last_heartbeat_at[heartbeat.sender.id] = monotonic()
         return HeartbeatReply(id=self.members.own_member.id, revision=self.replica.revision)
 
-    async def _keep_links(self) -> None:
+    async def _maintain_links(self) -> None:
         """Run one task for each address to link to, as peers come and go."""
         links: dict[str, anyio.CancelScope] = {}
         async with anyio.create_task_group() as tasks:
--- a/pumicespur/peers/_members.py
+++ b/pumicespur/peers/_members.py
@@ -1,6 +1,6 @@
-"""The list of processes, from the member row that each process writes for itself.
+"""The list of processes, from their member rows in the table service and from heartbeats.
 
-It serves only routing, the forwarding of revisions and the status. No guarantee depends on it.
+It is used only to choose links to peers and for status and dumps. No guarantee depends on it.
 """
 
 from __future__ import annotations
--- a/pumicespur/planning/_availability.py
+++ b/pumicespur/planning/_availability.py
@@ -53,8 +53,8 @@
         """Return how many available instances exceed the budget."""
         return self.available - self.min_available
 
-    def add(self, assignment: Assignment, change: int) -> None:
-        """Add (`change` is 1) or remove (-1) an available instance."""
+    def adjust(self, assignment: Assignment, change: int) -> None:
+        """Count an available instance in (`change` is 1) or out (-1)."""
         self.available += change
         self.racks[assignment.rack] += change
         self.halls[assignment.data_hall] += change
@@ -78,20 +78,20 @@
                 continue
             pool.assigned += 1
             if is_available(assignment, listed.get(name)):
-                pool.add(assignment, 1)
+                pool.adjust(assignment, 1)
                 self.available.add(name)
 
     def can_take_down(self, assignment: Assignment) -> bool:
-        """Whether the budget and its headroom are kept without this instance.
+        """Return whether the budget and its headroom are kept without this instance.
 
         Taking down an instance that is already unavailable costs nothing.
         """
         pool = self.pools.get(PoolId(assignment.pool))
         if pool is None or assignment.instance not in self.available:
             return True
-        pool.add(assignment, -1)
+        pool.adjust(assignment, -1)
         is_budget_kept = pool.available - pool.max_single_loss() >= pool.min_available
-        pool.add(assignment, 1)
+        pool.adjust(assignment, 1)
         return is_budget_kept
 
     def take_down(self, assignment: Assignment) -> None:
@@ -99,12 +99,12 @@
         name = InstanceId(assignment.instance)
         pool = self.pools.get(PoolId(assignment.pool))
         if pool is not None and name in self.available:
-            pool.add(assignment, -1)
+            pool.adjust(assignment, -1)
             self.available.discard(name)
 
 
 def is_available(assignment: Assignment, listed: ListedInstance | None) -> bool:
-    """Whether an instance counts as available for its pool's budget."""
+    """Return whether an instance counts as available for its pool's budget."""
     if assignment.state is not InstanceState.SERVING or listed is None:
         return False
     return listed.liveness is Liveness.LIVE and not listed.drained
--- a/pumicespur/planning/_lifecycle.py
+++ b/pumicespur/planning/_lifecycle.py
@@ -191,8 +191,9 @@
 def _count_failure(plan_input: PlanInput, decision: Decision, assignment: Assignment) -> bool:
     """Count an instance as failed in its wave, once; return whether it was counted.
 
-    If it wasn't, the wave's row stays out of the decision: an unchanged row would still be a log
-    record that starts the next round at once, which made the planner append 100 records a second.
+    If it was already counted, the wave's row is left out of the decision. Even an unchanged row
+    would be a new log record, and each record starts the next round at once: the planner appended
+    100 records a second.
     """
     if assignment.outcome is not WaveOutcome.UNSPECIFIED:
         return False
--- a/pumicespur/planning/_moves.py
+++ b/pumicespur/planning/_moves.py
@@ -129,7 +129,7 @@
         self.decision.assign(draining)
 
     def _fits(self, assignment: Assignment, pool: Pool) -> bool:
-        """Whether an instance can move to a pool now: it is live, serving and large enough."""
+        """Return whether an instance can move to a pool now: live, serving and large enough."""
         listed = self.plan_input.listed.get(assignment.instance)
         if listed is None or listed.liveness is not Liveness.LIVE:
             return False
@@ -158,7 +158,7 @@
 
 
 def covers(has: Resources, needs: Resources) -> bool:
-    """Whether resources are at least as large as needed."""
+    """Return whether resources are at least as large as needed."""
     return (
         has.millicores >= needs.millicores
         and has.memory_mb >= needs.memory_mb
--- a/pumicespur/planning/_order_dispatch.py
+++ b/pumicespur/planning/_order_dispatch.py
@@ -35,8 +35,9 @@
 
     def __init__(self, platform: PlatformClient) -> None:
         self.platform = platform
-        # When each order's token was known to be accepted, on the monotonic clock.
+        # By token, the time at which the order was known to be accepted (monotonic seconds).
         self.accepted_at: dict[str, float] = {}
+        # Tasks whose start the platform has accepted, with the placement that was sent.
         self.running: dict[TaskId, Placement] = {}
         self._limit = anyio.CapacityLimiter(MAX_PARALLEL_ORDERS)
 
@@ -59,7 +60,7 @@
             for usage in reported:
                 placement = fleet.placements.get(TaskId(usage.task))
                 if placement is None or placement.instance != usage.instance:
-                    tasks.start_soon(self._stop_stray, fleet, usage, placement)
+                    tasks.start_soon(self._stop_misplaced, fleet, usage, placement)
         self._drop_unused_tokens(fleet)
 
     async def _dispatch_order(self, assignment: Assignment) -> None:
@@ -119,7 +120,7 @@
             if await self._send_task(key, wanted, needs, stop=False):
                 self.running[key] = wanted
 
-    async def _stop_stray(
+    async def _stop_misplaced(
         self, fleet: Fleet, usage: TaskUsage, placement: Placement | None
     ) -> None:
         """Stop a task that runs on an instance where it is not placed.
@@ -134,7 +135,11 @@
             stop=True,
         )
         async with self._limit:
-            log.info("stopping a stray task", task=usage.task, instance=usage.instance)
+            log.info(
+                "stopping a task on an instance where it is not placed",
+                task=usage.task,
+                instance=usage.instance,
+            )
             await self.platform.run_task(request)
 
     async def _send_task(
--- a/pumicespur/planning/_placement.py
+++ b/pumicespur/planning/_placement.py
@@ -115,7 +115,10 @@
         return self.hosts.get(PoolId(job.pool), {}).get(placement.instance)
 
     def _has_lost_instance(self, placement: Placement) -> bool:
-        """Whether a task's instance left the pool or stopped serving, and is not just unlisted."""
+        """Return whether a task's instance left the pool or stopped serving.
+
+        An instance that is just unlisted doesn't count.
+        """
         fleet = self.plan_input.fleet
         before = fleet.assignments.get(placement.instance)  # type: ignore[call-overload]
         assignment = self.decision.assignments.get(placement.instance, before)  # type: ignore[call-overload]
--- a/pumicespur/planning/_planner.py
+++ b/pumicespur/planning/_planner.py
@@ -145,7 +145,7 @@
         await self.dispatcher.dispatch(self.replica.fleet, reported)
 
     def _is_unchanged(self) -> bool:
-        """Whether a round would decide nothing, like the previous one.
+        """Return whether a round would decide nothing, like the previous one.
 
         That is so if no change is in progress and no input of the decisions has changed, except
         the time of day, for which a round runs every `MAX_IDLE_INTERVAL_S`.
--- a/pumicespur/planning/_usage.py
+++ b/pumicespur/planning/_usage.py
@@ -73,11 +73,11 @@
         return _max_resources(declared, self.max_used.get(JobId(job.id), Resources()))
 
     def has_failed(self, task: TaskId, instance: str) -> bool:
-        """Whether the newest report names a task as failed on an instance."""
+        """Return whether the newest report names a task as failed on an instance."""
         return (task, InstanceId(instance)) in self.newly_failed
 
     def is_avoided(self, instance: str) -> bool:
-        """Whether an instance gets no new tasks because tasks fail on it."""
+        """Return whether an instance gets no new tasks because tasks fail on it."""
         return len(self.failures.get(InstanceId(instance), ())) >= MIN_FAILURES_TO_AVOID
 
 
--- a/pumicespur/planning/_waves.py
+++ b/pumicespur/planning/_waves.py
@@ -27,7 +27,10 @@
 
 
 def plan_waves(plan_input: PlanInput, availability: Availability, decision: Decision) -> None:
-    """Start as many instances of each running wave as allowed, and end waves that are done."""
+    """Start the maintenance of as many instances of each running wave as allowed.
+
+    Waves that are done are ended.
+    """
     for name, wave in plan_input.fleet.waves.items():
         progress = decision.waves.get(name, plan_input.fleet.progress.get(name))
         if progress is None or progress.phase is not WavePhase.RUNNING:
@@ -56,13 +59,13 @@
     elif is_in_window(wave, plan_input.now_ms):
         serving = [a for a in waiting if a.state is InstanceState.SERVING]
         free_places = wave.max_parallel - len(in_progress)
-        _start_instances(
+        _start_maintenance(
             plan_input, availability, decision, wave, progress, serving, in_progress, free_places
         )
 
 
 def is_due(assignment: Assignment, progress: WaveProgress) -> bool:
-    """Whether a wave still has to maintain an instance."""
+    """Return whether a wave still has to maintain an instance."""
     if assignment.wave != progress.wave or assignment.wave_run != progress.run:
         return True
     if assignment.outcome is WaveOutcome.FAILED:
@@ -70,7 +73,7 @@
     return assignment.outcome is not WaveOutcome.DONE
 
 
-def _start_instances(
+def _start_maintenance(
     plan_input: PlanInput,
     availability: Availability,
     decision: Decision,
@@ -127,7 +130,7 @@
 
 
 def is_in_window(wave: Wave, now_ms: int) -> bool:
-    """Whether the wave may start instances at this time of day (UTC)."""
+    """Return whether the wave may take down further instances at this time of day (UTC)."""
     start, end = wave.window_start_minute, wave.window_end_minute
     minute = now_ms // MS_PER_MINUTE % MINUTES_PER_DAY
     if start == end:
--- a/pumicespur/platform/_callers.py
+++ b/pumicespur/platform/_callers.py
@@ -38,7 +38,7 @@
 JOB_ID_LENGTH = 16
 HEX_DIGITS = frozenset("0123456789abcdef")
 RESPONSE_MARGIN_S = 0.15
-"""Part of a caller's time kept for the way of the response back to it."""
+"""Part of a caller's time limit that is reserved for sending the response."""
 
 GIVE_UP_RATIO = 0.5
 """Share of a caller's time after which the request is refused, which leaves time for a retry."""
@@ -109,7 +109,7 @@
 
     @property
     def jobs(self) -> JobApi:
-        """Return the object that carries out requests about jobs."""
+        """The object that carries out requests about jobs."""
 
     def current_configuration(self) -> Configuration | None:
         """Return the configuration in force, or None before the first one."""
@@ -356,7 +356,10 @@
 
 
 def _time_limit_s(request: web.BaseRequest, route: Route) -> float:
-    """Return how long to work on a request: a share of the caller's time, less the way back."""
+    """Return the time limit for processing a request.
+
+    It is `GIVE_UP_RATIO` of the caller's, less `RESPONSE_MARGIN_S`.
+    """
     try:
         requested_s = float(request.headers.get(DEADLINE_HEADER, "")) / 1000
     except ValueError:
--- a/pumicespur/platform/_http.py
+++ b/pumicespur/platform/_http.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the platform and to workers, with errors classified by whether they arrived."""
+"""HTTP calls to the platform and to workers; an error says whether the request may have arrived."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 class Transfer:
     """The progress of a pending read, whose response may be large.
 
-    It goes on as long as bytes arrive. With one timeout for the whole response, set by the
-    milliseconds that small responses take, a large configuration would never arrive over a slow
-    link.
+    The read continues as long as bytes arrive. A single timeout for the whole response would have
+    to follow the few milliseconds of small responses, and a large configuration would never arrive
+    over a slow link.
     """
 
     def __init__(self, first_bytes_timeout_s: float) -> None:
@@ -76,22 +76,22 @@
 
     @property
     def idle_s(self) -> float:
-        """Return the time since the newest bytes, in seconds."""
+        """The time since the newest bytes, in seconds."""
         return anyio.current_time() - self.newest_bytes_at
 
     @property
     def elapsed_s(self) -> float:
-        """Return the time since the request, in seconds."""
+        """The time since the request, in seconds."""
         return anyio.current_time() - self.sent_at
 
     @property
     def first_bytes_after_s(self) -> float:
-        """Return the time to the first bytes, which does not depend on the size of the response."""
+        """The time to the first bytes, which does not depend on the size of the response."""
         return self.elapsed_s if self.first_bytes_at is None else self.first_bytes_at - self.sent_at
 
     @property
     def receiving_s(self) -> float:
-        """Return the time between the first and the newest bytes, in seconds."""
+        """The time between the first and the newest bytes, in seconds."""
         return 0.0 if self.first_bytes_at is None else self.newest_bytes_at - self.first_bytes_at
 
 
--- a/pumicespur/platform/_orders.py
+++ b/pumicespur/platform/_orders.py
@@ -108,7 +108,7 @@
 class WorkerOrders:
     """Orders to workers; each call names the worker that it is meant for.
 
-    A restarted worker keeps its name, so that an order may be carried out by a later incarnation.
+    A restarted worker keeps its name, so an order may be carried out by a later incarnation.
     Only a worker status says which incarnation sent it.
     """
 
@@ -138,7 +138,7 @@
     async def stop(
         self, worker: Worker, token: int, task: TaskName, run: int
     ) -> Result[None, OtherLife | Refused | Unavailable | AnswerLost]:
-        """Stop a run, or keep one from starting whose start has not arrived yet."""
+        """Stop a run, or revoke it if its start has not arrived yet."""
         body = _StopRequest(task, run, token)
         return await self._order(worker, STOP_PATH, body, self.settings.call_timeout_s)
 
--- a/pumicespur/platform/_table.py
+++ b/pumicespur/platform/_table.py
@@ -47,8 +47,9 @@
 MAX_RESPONSE_AGE_S = 0.5
 """Maximum age of the newest response while the service counts as responding: one heartbeat."""
 
-RENEWAL_DELAY_S = 1.0
-"""Length of an outage, two heartbeats, after which pending reads are given up and sent again."""
+MIN_OUTAGE_S = 1.0
+"""Min length of an outage (two heartbeats) after which pending reads without data are given up, so
+that they are sent again."""
 
 EXPECTED_STATUSES = frozenset({200, 410, 412})
 """Status codes of responses that report a result; any other one counts as a failure."""
@@ -59,9 +60,9 @@
 
 
 MIN_UPLOAD_BYTES_PER_S = 250_000
-"""Lowest upload speed that the timeout of a request allows for: a fifth of a shared link of
-10 Mbit/s. Without this allowance, 300 KB over a link of 400 KB/s timed out after 0.1 s, and so did
-every retry."""
+"""Upload speed by which the timeout of a request grows with its size: a fifth of a shared link of
+10 Mbit/s. Otherwise a request of 300 KB over a link of 400 KB/s exceeds its timeout, 0.1 s, at
+every attempt."""
 
 
 class _Row(msgspec.Struct):
@@ -151,16 +152,16 @@
             return
         failing_for_s = self.failing_for_s(now)
         self.last_success_at = now
-        if failing_for_s > RENEWAL_DELAY_S:
+        if failing_for_s > MIN_OUTAGE_S:
             # Requests sent during the outage may never get a response.
             self.renew_pending_reads()
 
     def renew_pending_reads(self) -> None:
         """Give up the pending reads that received nothing; their connections may be dead.
 
-        A read that is receiving, or was sent less than a call's timeout ago, goes on, since it
-        carries the data that is needed. When reads were given up at each newer version, and a new
-        configuration was written every 0.8 s, none arrived for 14 s over a link of 10 Mbit/s.
+        A read that is receiving, or was sent less than a call's timeout ago, continues, since it
+        carries the data that is needed. If every read were given up at each newer version, frequent
+        configurations (one every 0.8 s, over 10 Mbit/s) would not arrive for as long as 14 s.
         """
         allowed_s = self.response_times.timeout_s()
         for read in list(self.pending_reads):
@@ -316,7 +317,7 @@
 
 
 def _is_complete(decoded: _RowsResponse) -> bool:
-    """Return whether the response was too small for the service to have left out changes."""
+    """Return whether the response is so far below the service's limits that it has all changes."""
     size = sum(len(str(row.value)) for row in decoded.rows)
     return len(decoded.rows) < MAX_PAGE_ROWS and size < MAX_PAGE_BYTES - MAX_ROW_BYTES
 
--- a/pumicespur/processes/_entry.py
+++ b/pumicespur/processes/_entry.py
@@ -18,9 +18,9 @@
 
 log = Logger(__name__)
 
-BALANCER_NOTICE_S = 1.0
-"""How long a stopping entry still accepts new requests and refuses them with "not run", so
-that the load balancer's health check notices the stop before the listener closes."""
+STOP_DELAY_S = 1.0
+"""Min time for which a stopping entry keeps its listener open and refuses new requests with
+"not run", so that the load balancer's health check fails first."""
 
 
 class EntryProcess(Process):
@@ -57,7 +57,7 @@
         self.stopping = True
         self.peers.stopping = True
         self.app.stopping = True
-        await anyio.sleep(BALANCER_NOTICE_S)
+        await anyio.sleep(STOP_DELAY_S)
         finished = await self.app.finish(self.settings.entry.stop_grace_s)
         log.info("stopped", finished=finished, running=self.app.running)
         with anyio.move_on_after(self.settings.platform.timeout_s):
--- a/pumicespur/processes/_process.py
+++ b/pumicespur/processes/_process.py
@@ -139,7 +139,7 @@
         receive: Callable[[], Awaitable[Any]],
         send: Callable[[dict[str, Any]], Awaitable[None]],
     ) -> None:
-        """Answer /health, /metrics and /dump."""
+        """Serve /health, /metrics and /dump."""
         if scope["type"] != "http":
             return
         match scope["path"]:
--- a/pumicespur/routing/_at_most_once.py
+++ b/pumicespur/routing/_at_most_once.py
@@ -1,6 +1,7 @@
-"""At-most-once requests: the key is claimed first, and a retry is made only if nothing was sent.
+"""At-most-once requests: the key is claimed first, and a retry is made only if nothing has run.
 
-"Not run" is reported only after the key's row has been set to that, which is final.
+A request is sent again only if no byte of it was sent, or if the backend server reported that it
+did not run it. "Not run" is reported only after the key's row has been set to that, which is final.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from expression import Result
 
 from pumicespur.routing._attempts import MAX_ATTEMPTS
-from pumicespur.routing._claims import ClaimResult, ClaimWriter, Taken, Unresolved, Won
+from pumicespur.routing._claims import ClaimResult, ClaimWriter, KeyInUse, Unresolved, Written
 from pumicespur.routing._messages import (
     AlreadyRan,
     Answered,
@@ -47,7 +48,7 @@
         claim = self.claims.new_claim(ClaimState.HELD, request.digest())
         claimed = await self._write_claim(request, claim, 0)
         match claimed:
-            case Won(version=version):
+            case Written(version=version):
                 pass
             case _:
                 return self._outcome_of_failed_claim(request, claimed)
@@ -62,8 +63,8 @@
                 return await self._finish_not_run(request, claim, version, reason)
 
     async def _send_once(self, queue: PoolQueue, request: CallerRequest) -> AttemptResult:
-        """Try backend servers until one may have received the request."""
-        self.attempts.budget.earn()
+        """Try backend servers until one responds or may have run the request."""
+        self.attempts.budget.add_share()
         tried: set[str] = set()
         result: AttemptResult = NotSent("no attempt")
         for attempt in range(MAX_ATTEMPTS):
@@ -105,7 +106,7 @@
         match await self.claims.write(
             self._claim_key(request), not_run, version, self.claims.platform.settings.timeout_s
         ):
-            case Won():
+            case Written():
                 return NotRun(503, f"not accepted: {reason}")
             case _:
                 return Unknown(503, f"not accepted, key still held: {reason}")
@@ -117,7 +118,7 @@
     def _outcome_of_failed_claim(self, request: CallerRequest, result: ClaimResult) -> Outcome:
         """Return the outcome of a request whose key this process could not claim."""
         match result:
-            case Taken(claim=claim):
+            case KeyInUse(claim=claim):
                 return outcome_from_claim(request, claim)
             case Unresolved(reason=reason):
                 return Unknown(503, f"can't claim the key: {reason}")
@@ -137,7 +138,7 @@
         claim = self.claims.new_claim(ClaimState.NOT_RUN, request.digest())
         result = await self._write_claim(request, claim, 0)
         match result:
-            case Won():
+            case Written():
                 return NotRun(status, refusal.reason, refusal.retry_after_s)
             case _:
                 return self._outcome_of_failed_claim(request, result)
--- a/pumicespur/routing/_attempts.py
+++ b/pumicespur/routing/_attempts.py
@@ -22,7 +22,7 @@
     from pumicespur.schema.settings_pb import EntrySettings
 
 MAX_ATTEMPTS = 4
-"""Attempts in one series; also the series that an idempotent request may run in parallel."""
+"""Max attempts in one series, and max parallel series of one idempotent request."""
 
 MAX_RETRY_TOKENS = 10.0
 """Retries that may be made in a burst."""
@@ -40,11 +40,11 @@
     share: float
     tokens: float = MAX_RETRY_TOKENS
 
-    def earn(self) -> None:
-        """Add the share of a retry that a first attempt earns."""
+    def add_share(self) -> None:
+        """Add the share of a retry that each first attempt allows."""
         self.tokens = min(MAX_RETRY_TOKENS, self.tokens + self.share)
 
-    def spend(self) -> bool:
+    def try_take(self) -> bool:
         """Take the token of one retry; False if there is none."""
         if self.tokens < 1:
             return False
@@ -62,7 +62,7 @@
 
     def try_take_retry(self, request: CallerRequest) -> bool:
         """Take a retry from the budget; False if it is spent or the deadline has passed."""
-        if request.remaining_s() <= 0 or not self.budget.spend():
+        if request.remaining_s() <= 0 or not self.budget.try_take():
             return False
         self.counts.retries += 1
         return True
@@ -73,8 +73,8 @@
         """Send a request once, update the backend server's health and release its capacity."""
         self.counts.attempts += 1
         started = monotonic()
-        # Stays if the attempt is cancelled because a parallel one was faster, which counts as a
-        # failure of the backend server.
+        # The result if the attempt is cancelled because a parallel one got its response first. It
+        # counts as a failure of this backend server, which was too slow.
         result: AttemptResult = Lost("a parallel attempt was faster")
         try:
             result = await backend.send(request, f"{request.id}-{uuid.uuid4().hex[:8]}")
--- a/pumicespur/routing/_backend.py
+++ b/pumicespur/routing/_backend.py
@@ -30,7 +30,7 @@
     from pumicespur.schema.settings_pb import EntrySettings
 
 NOT_RUN = "not-run"
-HOP_BY_HOP = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -84,7 +84,7 @@
         return self.in_flight < self.max_in_flight
 
     @property
-    def ejected(self) -> bool:
+    def is_ejected(self) -> bool:
         """Whether this backend server is excluded for now because of recent failures."""
         return monotonic() < self.ejected_until
 
@@ -118,7 +118,7 @@
             remaining, connect=min(remaining, self.settings.connect_timeout_s), pool=remaining
         )
         headers = [
-            *_end_to_end(request.headers),
+            *_select_forwarded(request.headers),
             (REQUEST_ID_HEADER, attempt_id),
             (POOL_HEADER, request.pool),
             (TIMEOUT_HEADER, str(int(remaining * 1000))),
@@ -152,7 +152,9 @@
         self._note_load(response.headers.get(LOAD_HEADER, ""))
         if response.headers.get(OUTCOME_HEADER) == NOT_RUN:
             return Declined(f"status {response.status_code}", LEAVING_HEADER in response.headers)
-        return Answered(response.status_code, _end_to_end(response.headers.multi_items()), body)
+        return Answered(
+            response.status_code, _select_forwarded(response.headers.multi_items()), body
+        )
 
     async def _read(self, response: httpx.Response) -> bytes | None:
         """Return the whole body, None if it is larger than `max_body_bytes`."""
@@ -191,5 +193,5 @@
             self._client = None
 
 
-def _end_to_end(headers: Headers) -> Headers:
-    return [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP]
+def _select_forwarded(headers: Headers) -> Headers:
+    return [(name, value) for name, value in headers if name.lower() not in NOT_FORWARDED_HEADERS]
--- a/pumicespur/routing/_claims.py
+++ b/pumicespur/routing/_claims.py
@@ -42,14 +42,14 @@
 
 
 @dataclass(frozen=True)
-class Won:
+class Written:
     """The row was written; its version is the condition of this process's next write."""
 
     version: int
 
 
 @dataclass(frozen=True)
-class Taken:
+class KeyInUse:
     """The key has another row already."""
 
     claim: Claim
@@ -62,7 +62,7 @@
     reason: str
 
 
-ClaimResult: TypeAlias = Won | Taken | Unresolved
+ClaimResult: TypeAlias = Written | KeyInUse | Unresolved
 
 
 @dataclass
@@ -152,7 +152,7 @@
             match await self._transact(group):
                 case Result(tag="ok", ok=versions):
                     for pending, version in zip(group, versions, strict=True):
-                        pending.resolve(Won(version))
+                        pending.resolve(Written(version))
                     self.rows_written += len(group)
                     return
                 case Result(error=Conflict(keys=keys)):
@@ -193,14 +193,17 @@
 
     @staticmethod
     def _resolve_conflict(pending: PendingClaim, row: Row) -> None:
-        """Resolve a claim by the row that stands in its place, if there is one."""
+        """Resolve a claim by the row that its key has now.
+
+        Without a row the claim stays pending and is written again.
+        """
         if not row.version:
             return
         claim = Claim.from_binary(row.value)
         if claim.token == pending.claim.token and claim.state is pending.claim.state:
-            pending.resolve(Won(row.version))
+            pending.resolve(Written(row.version))
         else:
-            pending.resolve(Taken(claim))
+            pending.resolve(KeyInUse(claim))
 
     @staticmethod
     def _resolve_unknown(group: Sequence[PendingClaim], reason: str) -> None:
--- a/pumicespur/routing/_dispatcher.py
+++ b/pumicespur/routing/_dispatcher.py
@@ -1,9 +1,9 @@
 """Admission of requests, and their dispatch by kind.
 
-Three rules hold throughout. An at-most-once request is never sent again if bytes of an
-attempt may have been sent. "Not run" is reported for a request with a key only after the
-key's row has been set to that for good. A request that is given up gets its final response
-at once.
+Three rules hold throughout. An at-most-once request is sent again only if no byte of it was
+sent, or if the backend server reported that it did not run it. "Not run" is reported for a
+request with a key only after the key's row has been set to that for good. A request that is
+given up gets its final response at once.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         queue = self.table.queues.get(request.pool)
         if queue is None:
             return await self.refuse(request, 404, Refusal("no such pool", 5.0))
-        refusal = queue.refusal(request)
+        refusal = queue.check_admission(request)
         if refusal is not None:
             return await self.refuse(request, 503, refusal)
         if request.is_idempotent:
--- a/pumicespur/routing/_entry_app.py
+++ b/pumicespur/routing/_entry_app.py
@@ -126,7 +126,7 @@
 
 
 def is_keyed(scope: dict[str, Any]) -> bool:
-    """Tell whether a request has an idempotency key, before it is parsed."""
+    """Return whether a request has an idempotency key, before it is parsed."""
     return any(name.lower() == KEY_HEADER.encode() for name, _ in scope["headers"])
 
 
--- a/pumicespur/routing/_freshness.py
+++ b/pumicespur/routing/_freshness.py
@@ -1,9 +1,9 @@
-"""A short wait for an update when the routing table may be stale.
+"""Wait briefly for an update when the routing table may be stale.
 
 A process that was paused resumes with an old routing table, and an instance may have changed
-pool meanwhile. So after a time without updates, requests wait briefly for a response of the
-table service or any peer. If none arrives, this process is disconnected rather than late, and
-continues with the table it has, since refusing requests would help nobody.
+pool meanwhile. After a time without updates, requests therefore wait briefly for a response of
+the table service or of any peer. If none arrives, this process is assumed to be cut off from all
+of them, and it continues with the table it has rather than refuse all requests.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
         self.found_stale_at = float("-inf")
 
     def is_stale(self) -> bool:
-        """Tell whether the replica was last confirmed longer than `doubt_after_s` ago."""
+        """Return whether the replica was last confirmed longer than `doubt_after_s` ago."""
         return monotonic() - self.replica.confirmed_at > self.settings.doubt_after_s
 
     async def wait_until_fresh(self) -> None:
--- a/pumicespur/routing/_idempotent.py
+++ b/pumicespur/routing/_idempotent.py
@@ -42,7 +42,7 @@
         The first response is the outcome. Without one, the outcome is Unknown if the
         request may have run in any of the series.
         """
-        self.attempts.budget.earn()
+        self.attempts.budget.add_share()
         outcomes: list[Outcome] = []
         tried: set[str] = set()
         ended = anyio.Event()
--- a/pumicespur/routing/_picker.py
+++ b/pumicespur/routing/_picker.py
@@ -28,7 +28,7 @@
     those in `avoid` while any other remains.
     """
     active = [backend for backend in backends if not backend.leaving]
-    healthy = [backend for backend in active if not backend.ejected]
+    healthy = [backend for backend in active if not backend.is_ejected]
     if len(healthy) < len(active) * (1 - MAX_EJECTED_RATIO):
         healthy = active
     untried = [backend for backend in healthy if backend.id not in avoid]
--- a/pumicespur/routing/_queue.py
+++ b/pumicespur/routing/_queue.py
@@ -81,8 +81,8 @@
         )
         return ahead * self.service_s / max(1, concurrency)
 
-    def refusal(self, request: CallerRequest) -> Refusal | None:
-        """Return why a request should be refused at once, None to let it wait."""
+    def check_admission(self, request: CallerRequest) -> Refusal | None:
+        """Return why a request has to be refused at once; None if it may wait."""
         if all(backend.leaving for backend in self.backends):
             return Refusal("no backend server", 1.0)
         if len(self.waiting[request.urgency]) >= self.max_queue:
@@ -100,7 +100,7 @@
         One request is counted on it; call `release` when the attempt has ended. A backend
         server whose id is in `avoid` is granted only when no other is eligible.
         """
-        refusal = self.refusal(request)
+        refusal = self.check_admission(request)
         if refusal is not None:
             return Error(refusal)
         waiter = Waiter(avoid)
--- a/pumicespur/state/_keys.py
+++ b/pumicespur/state/_keys.py
@@ -10,5 +10,8 @@
 
 
 def record_key(revision: int) -> str:
-    """Return the key of a record; keys sort in the order of revisions."""
+    """Return the key of a record.
+
+    Keys sort in the order of revisions, and all start with `log/0`, unlike that of the head row.
+    """
     return f"log/{revision:015d}"
--- a/pumicespur/state/_lease.py
+++ b/pumicespur/state/_lease.py
@@ -87,6 +87,7 @@
             case Result(tag="ok"):
                 self._renewed_at = started_at
             case Result(error=error) if "keys" in vars(error):
+                # Only a Conflict has `keys`: the lease row has changed.
                 self.note_lost()
             case Result(error=error):
                 log.warning("can't renew the planner lease", epoch=self.epoch, fault=str(error))
@@ -115,7 +116,7 @@
         self.epoch = Epoch(content.get("epoch", 0))
 
     def _is_expired(self) -> bool:
-        """Whether this process has seen no renewal for the duration of the lease."""
+        """Return whether this process has seen no renewal for the duration of the lease."""
         return monotonic() - self._renewal_seen_at >= self.lease_s
 
     async def _take_over(self) -> None:
--- a/pumicespur/state/_log.py
+++ b/pumicespur/state/_log.py
@@ -32,8 +32,8 @@
 
     from pumicespur.connect import PlatformClient
 
-MAX_APPEND_ATTEMPTS = 3
-"""How often an append sends its transaction at most, if responses are lost."""
+MAX_TRANSACTION_ATTEMPTS = 3
+"""Max attempts to send an append's transaction if responses are lost."""
 
 
 @dataclass(frozen=True)
@@ -91,7 +91,7 @@
             ],
         )
         maybe_sent = False
-        for _ in range(MAX_APPEND_ATTEMPTS):
+        for _ in range(MAX_TRANSACTION_ATTEMPTS):
             match await self.platform.transact(transaction):
                 case Result(tag="ok", ok=versions):
                     return Ok(Head(record.revision, versions[0]))
--- a/pumicespur/state/_replica.py
+++ b/pumicespur/state/_replica.py
@@ -27,7 +27,7 @@
 """Newest records kept in memory, for peers that lack them."""
 
 MAX_APPEND_ATTEMPTS = 8
-"""How often an append is attempted at most, if appends of other processes win."""
+"""Max attempts of an append if appends of other processes win."""
 
 
 class Replica:
@@ -167,7 +167,7 @@
 
     @staticmethod
     def _is_fenced(keys: Sequence[str], fences: Sequence[Condition]) -> bool:
-        """Whether a fence is among the failed conditions."""
+        """Return whether a fence is among the failed conditions."""
         return any(fence.key in keys for fence in fences)
 
     def _notify_changed(self) -> None:
--- a/pumicespur/state/_retention.py
+++ b/pumicespur/state/_retention.py
@@ -22,7 +22,7 @@
 
 PAGE_ROWS = 100
 PAGE_INTERVAL_S = 1.0
-HOUR_MS = 3_600_000
+MS_PER_HOUR = 3_600_000
 MIN_RETAINED_RECORDS = 1000
 """Records kept before the snapshot, so that a process slightly behind needs no snapshot."""
 
@@ -53,7 +53,7 @@
             case _:
                 return
         self._scan_after = rows[-1].key if len(rows) == PAGE_ROWS else ""
-        oldest_ms = now_ms() - self.settings.claim_retention_h * HOUR_MS
+        oldest_ms = now_ms() - self.settings.claim_retention_h * MS_PER_HOUR
         await self._delete([row for row in rows if Claim.from_binary(row.value).at_ms < oldest_ms])
 
     async def delete_old_records(self, snapshot_revision: int) -> None:
--- a/pumicespur/store/__init__.py
+++ b/pumicespur/store/__init__.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from pumicespur.store._clock import StoreClock
-from pumicespur.store._faults import (
+from pumicespur.store._errors import (
     AnswerLost,
     Conflict,
     Fault,
@@ -26,7 +26,7 @@
     UsageListing,
     Write,
 )
-from pumicespur.store._use import StoreUse
+from pumicespur.store._usage import StoreUse
 
 __all__ = [
     "AnswerLost",
--- a/pumicespur/store/_latency.py
+++ b/pumicespur/store/_latency.py
@@ -12,12 +12,13 @@
 """Timeout of a call as a multiple of the mean response time; normal variation stays below it."""
 
 CHANGES_SLACK_S = 0.1
-"""Slack, beyond the slowest recent responses, before a request for changes counts as lost where the
-rows can be read in another way. A store that had dropped its history left such requests without a
-response for 1.2 s, at the start of a load peak, while it accepted every submission."""
+"""Time, in addition to that for slow responses, after which a request for changes counts as lost if
+the rows can be read in another way. A store that has dropped its history may leave such requests
+without a response (for 1.2 s, at the start of a load peak) while it accepts every submission."""
 
 SLOWEST_FACTOR = 2.0
-"""Multiple of the slowest recent response time that is waited for there."""
+"""Wait for changes before another way is used, as a multiple of the longest recent response
+time."""
 
 RECENT_WINDOW_S = 3.0
 """Time for which a slow response is remembered."""
--- a/pumicespur/structure/__init__.py
+++ b/pumicespur/structure/__init__.py
@@ -1,4 +1,4 @@
-"""The state of the fleet: ids, the state folded from the log, and the checks on declarations."""
+"""The state of the fleet: ids, the state built from the log, and the checks on declarations."""
 
 from __future__ import annotations
 
--- a/pumicespur/structure/_fleet.py
+++ b/pumicespur/structure/_fleet.py
@@ -1,4 +1,4 @@
-"""The state of the fleet: a fold over the records of the log."""
+"""The state of the fleet, built by applying the records of the log."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 class Fleet:
     """All declarations and decisions, up to one revision of the log.
 
-    Every process folds the same records in the same order, so two processes at the same
+    Every process applies the same records in the same order, so two processes at the same
     revision have the same state.
     """
 
@@ -51,7 +51,9 @@
     assignments: dict[InstanceId, Assignment] = field(default_factory=dict)
     placements: dict[TaskId, Placement] = field(default_factory=dict)
     progress: dict[WaveId, WaveProgress] = field(default_factory=dict)
+    """Progress of each wave that was started."""
     changes: dict[SectionName, SectionChange] = field(default_factory=dict)
+    """The last change of each section."""
 
     def apply(self, record: Record) -> None:
         """Apply the next record; raise RevisionGapError for any other."""
--- a/pumicespur/utils/_clock.py
+++ b/pumicespur/utils/_clock.py
@@ -13,7 +13,7 @@
 
 
 def now_ms() -> int:
-    """Return the wall-clock time in milliseconds since 1970, for rows that people read."""
+    """Return the wall-clock time in milliseconds since 1970, for times that are stored in rows."""
     return int(time.time() * 1000)
 
 
--- a/pumicespur/utils/_event_log.py
+++ b/pumicespur/utils/_event_log.py
@@ -37,8 +37,8 @@
         self.partial = b""
         """Rest of a line that has been written in part."""
         self.current_second = 0
-        self.written: Counter[str] = Counter()
-        """Lines of the current second by event, including those beyond the limit."""
+        self.logged: Counter[str] = Counter()
+        """Number of records of the current second by event, also of those beyond the limit."""
         self.dropped: Counter[str] = Counter()
         """Dropped lines since the last summary line, by event."""
         self.summarized_at = 0.0
@@ -49,9 +49,9 @@
         now = time.time()
         if int(now) != self.current_second:
             self.current_second = int(now)
-            self.written.clear()
-        self.written[record.message] += 1
-        if self.written[record.message] > self.lines_per_s:
+            self.logged.clear()
+        self.logged[record.message] += 1
+        if self.logged[record.message] > self.lines_per_s:
             self.dropped[record.message] += 1
         else:
             self._queue(_format_line(self.process, record), record.message)
--- a/pumicespur/utils/_metrics.py
+++ b/pumicespur/utils/_metrics.py
@@ -6,7 +6,8 @@
 from aioprometheus.renderer import render
 
 BUCKETS_S = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0]
-"""Bucket bounds of latency histograms, from one store response to a caller's deadline."""
+"""Upper bounds of the buckets of latency histograms, from the time of one store call to a caller's
+time limit."""
 
 
 class Metrics:
--- a/soak/_accounts.py
+++ b/soak/_accounts.py
@@ -72,7 +72,7 @@
         return [k for k in self.keys if k.account == account and k.valid_until == float("inf")]
 
     def current_key(self, account: str) -> str:
-        """Return the key that the account's callers use: the oldest one declared."""
+        """Return the key that the account's callers use: the oldest valid one."""
         return self._valid_keys(account)[0].key
 
     def declarations(self) -> list[dict[str, object]]:
@@ -107,8 +107,8 @@
 ) -> Iterator[str]:
     """Find starts that take an account over every limit that may have been in force.
 
-    For a given time, `in_force_since` returns the time from which on declarations count: what was
-    replaced before has been replaced on every node.
+    `in_force_since(t)` returns the earliest time whose declarations may still be in force at time
+    `t`: a declaration that was replaced before it is no longer in force on any node.
     """
     by_account: defaultdict[str, list[Run]] = defaultdict(list)
     for run in history:
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -38,22 +38,23 @@
 """Shares of a caller's actions; the others submit short jobs."""
 
 SPECULATIVE_RATIO = 0.3
-"""Share of short jobs whose tasks may run twice at once, as in the users' sheets."""
+"""Share of short jobs whose tasks may run twice at once, as in the users' workloads."""
 
 KEYED_RATIO = 0.5
 """Share of short jobs that are submitted with a client account's key."""
 
 BURST_JOBS = 12
-"""Jobs that a hot account submits at once: three seconds of its weight."""
+"""Jobs in one burst: three times the account's weight, which is in jobs per second."""
 
 PROBE_INTERVAL_S = 0.2
 """Pause between checks whether every node serves the added routes."""
 
 CRASHING_JOB_TIMEOUT_S = 12.0
-"""Time by which a job that crashes workers has been given up, unless much else goes wrong."""
+"""Max time for which a caller waits until a job that crashes workers has failed; enough unless much
+else goes wrong."""
 
 TASK_CPU_MILLIS = 500
-"""Processor time that each task requests."""
+"""CPU capacity that each task requests."""
 
 MAX_LONG_RUNNING_JOBS = 3
 """Long-running jobs that one caller has at the same time; each occupies several workers."""
@@ -99,32 +100,32 @@
 
     @property
     def path(self) -> str:
-        """Return the path at which the job is submitted and queried."""
+        """The path at which the job is submitted and queried."""
         return f"/{KEYED_ROUTE if self.account else 'quick'}/{self.id}"
 
     @property
     def submissions(self) -> list[Exchange]:
-        """Return the attempts to submit the job."""
+        """The attempts to submit the job."""
         return [e for e in self.exchanges if e.method == "POST"]
 
     @property
     def accepted_at(self) -> float | None:
-        """Return the time at which the caller first knew that the job was accepted."""
+        """The time at which the caller first knew that the job was accepted."""
         return min((e.ended_at for e in self.submissions if e.status == 200), default=None)
 
     @property
     def is_refused(self) -> bool:
-        """Return whether every attempt was refused, so that the job must never run."""
+        """Whether every attempt was refused, so that the job must never run."""
         return all(e.status in REFUSAL_STATUSES for e in self.submissions)
 
     @property
     def cancel_sent_at(self) -> float | None:
-        """Return the time at which the caller first asked to cancel the job."""
+        """The time at which the caller first asked to cancel the job."""
         return min((e.sent_at for e in self.exchanges if e.method == "DELETE"), default=None)
 
     @property
     def cancelled_at(self) -> float | None:
-        """Return the time at which the cancellation was first confirmed."""
+        """The time at which the cancellation was first confirmed."""
         confirmed = [e.ended_at for e in self.exchanges if e.method == "DELETE" and e.status == 200]
         return min(confirmed, default=None)
 
@@ -146,7 +147,8 @@
         """Requests for routes that configurations add and remove."""
         self.key_probes: list[KeyProbe] = []
         self.account_random = random.Random(plan.seed * 1000 + number + 500)
-        """Separate generator, so that plans older than accounts draw the same actions as before."""
+        """Separate generator, so that plans saved before there were accounts still cause the same
+        actions."""
         self.node_names = sorted(world.links)
         self.preferred_index = number % len(self.node_names)
         self.session = aiohttp.ClientSession(
--- a/soak/_checker.py
+++ b/soak/_checker.py
@@ -1,4 +1,7 @@
-"""Checks of the promises against what callers, workers and platform saw, never the product."""
+"""Checks of the promises by the records of callers, workers and platform.
+
+The product's own state is not used.
+"""
 
 from __future__ import annotations
 
@@ -34,13 +37,13 @@
 and two polls."""
 
 DRAIN_TIMEOUT_S = 1.2
-"""Time from which no task may start on a worker that has announced to leave; `drain_ms` of the
-nodes' settings."""
+"""Time after a worker's announcement that it leaves, from which on no task may start on it;
+`drain_ms` of the nodes' settings."""
 
 STOP_TIMEOUT_S = 0.4
 """Time by which an ordered stop has been carried out."""
 
-MAX_AWAY_S = 1.5
+MAX_UNAVAILABLE_S = 1.5
 """Time for which a long-running task may be unavailable before it counts towards the budget:
 a worker's lease in the soak, and the time to start the task again."""
 
@@ -54,7 +57,8 @@
 """Time without faults before time limits apply."""
 
 MAX_CRASHING_STARTS = 5
-"""Starts of a task that crashes workers: three, and two more until it is given up."""
+"""Max starts of a task that crashes workers: callers are promised at most two after three lost
+workers."""
 
 CAPACITY_UPDATE_TIMEOUT_S = 1.5
 """Time by which a reduced worker capacity is known, without faults."""
@@ -85,7 +89,7 @@
 
     @property
     def jobs(self) -> dict[str, SentJob]:
-        """Return every job that a caller has sent, by id."""
+        """Every job that a caller has sent, by id."""
         return {job.id: job for caller in self.callers for job in caller.jobs}
 
     def check(self) -> None:
@@ -189,7 +193,7 @@
     def _check_leaving_workers(self) -> Iterator[Finding]:
         """Check that workers stop getting tasks after their announcement.
 
-        Faults are no excuse here, because the worker refuses an order that arrives too late.
+        This holds during faults too, because the worker refuses an order that arrives too late.
         """
         for run in self.world.starts_on_leaving(DRAIN_TIMEOUT_S):
             yield Finding("nothing starts on a worker that leaves", str(run))
@@ -277,9 +281,11 @@
         at = self._ordered_end_at(run)
         if at is None or at > (job.cancel_sent_at or float("inf")):
             return
-        away = sum(1 for other in others if self._is_unavailable(other, at))
-        if away >= int(job.steps[0]["may_miss"]):
-            yield Finding("budgets hold", f"{run} ended by order while {away} others were away")
+        unavailable = sum(1 for other in others if self._is_unavailable(other, at))
+        if unavailable >= int(job.steps[0]["may_miss"]):
+            yield Finding(
+                "budgets hold", f"{run} ended by order while {unavailable} others were away"
+            )
 
     def _ordered_end_at(self, run: Run) -> float | None:
         if run.how == "stopped":
@@ -291,7 +297,10 @@
         return None
 
     def _is_unavailable(self, task_runs: list[Run], at: float) -> bool:
-        """Return whether a task was unavailable by an order, or for longer than `MAX_AWAY_S`."""
+        """Return whether a task was unavailable because of an order or for too long.
+
+        Too long is longer than `MAX_UNAVAILABLE_S`.
+        """
         if any(is_running_at(run, at) for run in task_runs):
             return False
         ended = [r for r in task_runs if r.ended_at is not None and r.ended_at <= at]
@@ -299,7 +308,7 @@
             return False
         last = max(ended, key=lambda run: run.ended_at or 0.0)
         ordered = self._ordered_end_at(last) is not None
-        return ordered or at - (last.ended_at or at) > MAX_AWAY_S
+        return ordered or at - (last.ended_at or at) > MAX_UNAVAILABLE_S
 
     def _check_fleet_orders(self) -> Iterator[Finding]:
         orders = self.world.fleet.orders
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -34,10 +34,11 @@
 """Time for a node to end after SIGTERM; its grace period is 3 s."""
 
 SHRUNK_CPU_MILLIS = 1000
-"""Capacity of a worker that has shrunk: two tasks."""
+"""Reduced capacity of a worker; enough for two tasks."""
 
 SLOW_CLOCK_RATIO = 0.98
-"""Min speed of a worker's clock; the users' protocol page allows 2% slow."""
+"""Speed of a slow worker clock relative to real time: the min that the users' protocol allows (2%
+slow)."""
 
 MAX_LATE_S = 0.8
 """Max delay of a late start or write."""
@@ -45,8 +46,8 @@
 MAX_ADDED_DELAY_S = 0.4
 """Max delay that a slow store or link adds."""
 
-THIN_BYTES_PER_S = 150_000
-"""Bandwidth of a slow link: one large configuration takes half a second."""
+LOW_BANDWIDTH_BYTES_PER_S = 150_000
+"""Bandwidth of a thin (low-bandwidth) link: one large configuration takes half a second."""
 
 EXTRA_ROUTES = 300
 """Additional routes of a large configuration."""
@@ -282,17 +283,17 @@
                 links[0].delay_s = 0.0
             case FaultKind.STORE_LINK_THIN:
                 # The link stays thin: a process may have such a link for its whole lifetime.
-                links[0].bytes_per_s = THIN_BYTES_PER_S
+                links[0].bytes_per_s = LOW_BANDWIDTH_BYTES_PER_S
             case _:
                 for link in links:
                     link.reset()
 
     async def _restrict_links(self, links: list[Link], passage: Passage, for_s: float) -> None:
         for link in links:
-            link.let_pass(passage)
+            link.set_passage(passage)
         await asyncio.sleep(for_s)
         for link in links:
-            link.let_pass(Passage.BOTH_WAYS)
+            link.set_passage(Passage.BOTH_WAYS)
 
     async def _disrupt_store(self, fault: Fault) -> None:
         faults = self.world.store.faults
@@ -325,7 +326,7 @@
             case FaultKind.WORKER_SHRINKS:
                 await self._toggle_for(fault, lambda on: self._resize(worker, on))
             case FaultKind.WORKER_CLOCK_SLOW:
-                worker.slow_clock(SLOW_CLOCK_RATIO)
+                worker.set_clock_rate(SLOW_CLOCK_RATIO)
             case FaultKind.WORKER_SILENT:
                 await self._toggle_for(fault, lambda on: setattr(worker.faults, "silent", on))
             case FaultKind.WORKER_STARTS_LATE:
--- a/soak/_leaving.py
+++ b/soak/_leaving.py
@@ -75,11 +75,11 @@
 async def block_worker_records(world: SoakWorld, fault: Fault) -> None:
     """Make the store withhold the list of workers, or refuse records of where tasks run."""
     faults = world.store.faults
-    where, what = {
+    blocked, value = {
         FaultKind.LIST_UNREAD: (faults.refused_tables, "servers"),
         FaultKind.LIST_UNTOLD: (faults.stalled_feeds, "servers"),
-        FaultKind.COMMITS_REFUSED: (faults.refused_callers, WORKER_ID_PREFIX),
+        FaultKind.COMMITS_REFUSED: (faults.refused_texts, WORKER_ID_PREFIX),
     }[fault.kind]
-    where.add(what)
+    blocked.add(value)
     await asyncio.sleep(fault.for_s)
-    where.discard(what)
+    blocked.discard(value)
--- a/soak/_restarts.py
+++ b/soak/_restarts.py
@@ -88,11 +88,11 @@
     addresses = [world.workers[name].address for name in names if name in world.workers]
     links = [ls.workers[a] for ls in world.links.values() for a in addresses if a in ls.workers]
     for link in links:
-        link.let_pass(Passage.NOTHING)
+        link.set_passage(Passage.NOTHING)
     await _restart(world, fault, names)
     await asyncio.sleep(fault.for_s)
     for link in links:
-        link.let_pass(Passage.BOTH_WAYS)
+        link.set_passage(Passage.BOTH_WAYS)
 
 
 async def _restart_while_nodes_down(
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -115,11 +115,11 @@
     while monotonic() < until:
         for caller in callers:
             for job in caller.jobs:
-                ends = (
+                is_open = (
                     job.kind is not JobKind.LONG_RUNNING
                     and job.exchanges[-1].state not in FINAL_STATES
                 )
-                if job.accepted_at is not None and job.cancel_sent_at is None and ends:
+                if job.accepted_at is not None and job.cancel_sent_at is None and is_open:
                     await caller.query(job)
         preview = Checker(checker.world, callers, checker.injector)
         preview.check_settled()
--- a/soak/mutant.py
+++ b/soak/mutant.py
@@ -30,25 +30,42 @@
 
 
 class Mutant(Enum):
-    """The safeguard that is removed."""
+    """Safeguard to remove; the value names it on the command line."""
 
     COMMITS_WITHOUT_CONDITIONS = "commits-without-conditions"
+    """Transactions carry no conditions on row versions."""
     ENDS_CONFIRMED_UNRECORDED = "ends-confirmed-unrecorded"
+    """Ends of runs are acknowledged before they are recorded."""
     LEASES_NOT_WAITED_OUT = "leases-not-waited-out"
+    """Leases count as expired at once."""
     LOST_ANSWERS_COUNT_AS_ACCEPTED = "lost-answers-count-as-accepted"
+    """A submission with an unknown outcome is reported as accepted."""
     UNANSWERED_STARTS_FORGOTTEN = "unanswered-starts-forgotten"
+    """A task whose start got no response is requeued without revoking the run."""
     BUDGETS_IGNORED = "budgets-ignored"
+    """No other task of a step counts as unavailable, so that budgets never prevent a stop."""
     READINGS_BROKEN_OFF = "readings-broken-off"
+    """Whenever pending reads are renewed, all are given up, also those that receive data."""
     CHANGES_REPLAYED = "changes-replayed"
+    """A follower does not scan its table when the changes that it receives are outdated."""
     LOSSES_FORGOTTEN = "losses-forgotten"
+    """A task that crashes workers is started without limit."""
     ROOM_NOT_READ_AGAIN = "room-not-read-again"
+    """A change of a worker's capacity is ignored."""
     KEYS_CHECKED_AT_HAND_IN = "keys-checked-at-hand-in"
+    """API keys are checked only when a job is submitted."""
     KEYS_LOGGED = "keys-logged"
+    """API keys are written to the log."""
     LIMITS_IGNORED = "limits-ignored"
+    """Limits of client accounts are not applied."""
     BIRTHS_IGNORED = "births-ignored"
+    """Start times of workers are ignored, so that incarnations look alike."""
     OPEN_STARTS_FORGOTTEN = "open-starts-forgotten"
+    """Tasks with unconfirmed starts are requeued when their worker is dropped."""
     AGES_IGNORED = "ages-ignored"
+    """Starts are ordered however stale the known state is."""
     LEAVING_NOT_ASKED_AGAIN = "leaving-not-asked-again"
+    """Nothing is checked again between the record of a placement and its start order."""
 
 
 TRANSACTION = _journal.Journal._transaction
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -1,4 +1,4 @@
-"""Check the system's guarantees against the stand-ins' histories, never its own view."""
+"""Check the system's guarantees by the stand-ins' histories, not by the system's own state."""
 
 from __future__ import annotations
 
--- a/standins/hosted/_links.py
+++ b/standins/hosted/_links.py
@@ -52,14 +52,14 @@
 
     async def close(self) -> None:
         """Close all connections and accept no more."""
-        self.let_pass(Passage.BOTH_WAYS)
+        self.set_passage(Passage.BOTH_WAYS)
         if self.server is not None:
             self.server.close()
         for task in self.connections:
             task.cancel()
         await asyncio.gather(*self.connections, return_exceptions=True)
 
-    def let_pass(self, passage: Passage) -> None:
+    def set_passage(self, passage: Passage) -> None:
         """Change which directions the link carries."""
         self.passage = passage
         self.passage_changed.set()
--- a/standins/hosted/_store.py
+++ b/standins/hosted/_store.py
@@ -63,6 +63,7 @@
     silent: bool = False
     """Whether requests get no response."""
     slow_s: float = 0.0
+    """Delay of every response."""
     lose_share: float = 0.0
     """Share of writes that are applied without a response."""
     late_share: float = 0.0
@@ -72,7 +73,7 @@
     """Tables that can't be read at present: requests for them get status 503."""
     stalled_feeds: set[str] = field(default_factory=set)
     """Tables whose change feeds stall at present: requests for them get no response."""
-    refused_callers: set[str] = field(default_factory=set)
+    refused_texts: set[str] = field(default_factory=set)
     """Writes with a value that contains one of these texts are refused with status 503."""
 
 
@@ -146,7 +147,7 @@
         if refused is not None:
             return refused
         text = decoded_values(body)
-        if any(caller in text for caller in self.faults.refused_callers):
+        if any(refused_text in text for refused_text in self.faults.refused_texts):
             return web.json_response({"error": "turned away"}, status=503)
         if self.random.random() < self.faults.late_share:
             asyncio.get_running_loop().call_later(self.faults.late_s, self._commit, body)
@@ -237,7 +238,7 @@
 
 
 def decoded_values(body: dict[str, Any]) -> str:
-    """Return the decoded values of a transaction, to search them for a caller's name."""
+    """Return the decoded values that a transaction writes, as one text to search."""
     values = [base64.b64decode(entry["value"]) for entry in body["put"]]
     return b"".join(values).decode(errors="replace")
 
--- a/standins/hosted/_workers.py
+++ b/standins/hosted/_workers.py
@@ -54,9 +54,9 @@
     stop_ordered_at: float | None = None
     ticket: str = ""
     """The admission ticket of the start order."""
-    figure: float = 0.0
-    """What the worker reports of the run: its latency in ms or its processor use."""
-    pace: int = 100
+    measurement: float = 0.0
+    """Latency in ms or CPU usage, as the worker reports it."""
+    speed_percent: int = 100
     """Throttle of the run: its speed in percent of full speed."""
     since_leaving_s: float | None = None
     """How long before the start the worker had published that it leaves; None if it had not."""
@@ -103,7 +103,7 @@
     deadline_ms: float = 0.0
     running: dict[str, Run] = field(default_factory=dict)
     ended: list[list[Any]] = field(default_factory=list)
-    refused: dict[str, int] = field(default_factory=dict)
+    final_runs: dict[str, int] = field(default_factory=dict)
     """By task, the highest number of a run that was stopped or has ended here."""
     last_end_number: int = 0
     alive: bool = True
@@ -127,7 +127,7 @@
         since_ms = (monotonic() - self.clock_set_at) * 1000
         return self.clock_base_ms + since_ms * self.clock_rate
 
-    def slow_clock(self, rate: float) -> None:
+    def set_clock_rate(self, rate: float) -> None:
         """Change the speed of the clock from now on; its time does not jump."""
         self.clock_base_ms = self.clock_ms()
         self.clock_set_at = monotonic()
@@ -155,7 +155,7 @@
         await self.server.open(port)
         self.address = self.server.address
 
-    def description(self) -> bytes:
+    def encode_entry(self) -> bytes:
         """Return the worker's entry in the store."""
         return json.dumps(
             {
@@ -192,7 +192,7 @@
         del self.running[run.task]
         run.ended_at = monotonic()
         run.how = how
-        self.refused[run.task] = max(run.number, self.refused.get(run.task, 0))
+        self.final_runs[run.task] = max(run.number, self.final_runs.get(run.task, 0))
         self.last_end_number += 1
         checkpoint = f"after-{run.number}" if how == "stopped" else ""
         self.unacknowledged[self.last_end_number] = run
@@ -240,7 +240,7 @@
         """
         incarnation = self
         while incarnation.next_incarnation is not None:
-            revoked = body["run"] <= incarnation.refused.get(body["task"], 0)
+            revoked = body["run"] <= incarnation.final_runs.get(body["task"], 0)
             if revoked and not self.faults.late_starts_ignore_stops:
                 return
             incarnation = incarnation.next_incarnation
@@ -255,7 +255,7 @@
         current = self.running.get(task)
         if current is not None and current.number == number:
             return web.json_response({"clockMs": self.clock_ms()})
-        if number <= self.refused.get(task, 0):
+        if number <= self.final_runs.get(task, 0):
             return self._refuse("old")
         if body["deadlineMs"] < self.clock_ms():
             return self._refuse("late")
@@ -308,8 +308,8 @@
             run.stop_ordered_at = run.stop_ordered_at or monotonic()
             asyncio.get_running_loop().call_later(0.02, self._end, run, "stopped")
         elif run is None:
-            known = self.refused.get(body["task"], 0)
-            self.refused[body["task"]] = max(body["run"], known)
+            known = self.final_runs.get(body["task"], 0)
+            self.final_runs[body["task"]] = max(body["run"], known)
         return web.json_response({"clockMs": self.clock_ms()})
 
     async def _throttle(self, request: web.Request) -> web.StreamResponse:
@@ -319,7 +319,7 @@
             return refused
         run = self.running.get(body["task"])
         if run is not None and run.number == body["run"]:
-            run.pace = body["percent"]
+            run.speed_percent = body["percent"]
         return web.json_response({"clockMs": self.clock_ms()})
 
     def _acknowledge(self, number: int) -> None:
@@ -337,7 +337,7 @@
             # If no run ends in the requested time, the worker status is sent all the same.
             with contextlib.suppress(asyncio.TimeoutError):
                 await asyncio.wait_for(self.run_ended.wait(), body["waitMs"] / 1000)
-        running = [[r.task, r.number, "", 100, r.figure] for r in self.running.values()]
+        running = [[r.task, r.number, "", 100, r.measurement] for r in self.running.values()]
         return web.json_response(
             {
                 "clockMs": self.clock_ms(),
--- a/standins/hosted/_world.py
+++ b/standins/hosted/_world.py
@@ -135,7 +135,7 @@
         await self.publish(worker)
 
     async def _start_incarnation(self, worker: HostedWorker, port: int = 0) -> None:
-        worker.on_crash = lambda: self._crash_under_task(worker)
+        worker.on_crash = lambda: self._schedule_crash(worker)
         try:
             await worker.serve(port)
         except OSError:
@@ -161,7 +161,7 @@
         await asyncio.sleep(down_s)
         worker.address = before.address
         if late_s < 0 and self._may_start(worker):
-            self.store.put(("servers", "", worker.id), worker.description())
+            self.store.put(("servers", "", worker.id), worker.encode_entry())
             await asyncio.sleep(-late_s)
         if not self._may_start(worker):
             self.store.remove(("servers", "", worker.id))
@@ -179,13 +179,13 @@
 
     async def publish(self, worker: HostedWorker) -> None:
         """Write the entry of a new worker into the store."""
-        self.store.put(("servers", "", worker.id), worker.description())
+        self.store.put(("servers", "", worker.id), worker.encode_entry())
 
     def drain_worker(self, instance: str) -> None:
         """Mark a worker as leaving in the store; it continues to serve."""
         worker = self.workers[instance]
         worker.leaving_at = worker.leaving_at or monotonic()
-        self.store.put(("servers", "", worker.id), worker.description())
+        self.store.put(("servers", "", worker.id), worker.encode_entry())
 
     def starts_on_leaving(self, allowed_s: float) -> list[Run]:
         """Return runs that started over `allowed_s` after their worker was marked as leaving."""
@@ -195,7 +195,7 @@
         """Change a worker's capacity and its entry in the store."""
         worker = self.workers[instance]
         worker.resize(cpu)
-        self.store.put(("servers", "", worker.id), worker.description())
+        self.store.put(("servers", "", worker.id), worker.encode_entry())
 
     async def crash_worker(self, instance: str) -> None:
         """Crash a worker without notice; its entry leaves the store."""
@@ -203,7 +203,7 @@
         await worker.crash()
         self.store.remove(("servers", "", worker.id))
 
-    def _crash_under_task(self, worker: HostedWorker) -> None:
+    def _schedule_crash(self, worker: HostedWorker) -> None:
         if self.workers.get(worker.instance) is not worker:
             return
         crash = asyncio.get_running_loop().create_task(self._crash_and_return(worker))
@@ -325,7 +325,10 @@
         return f"{runs}\n{logs}"
 
     def overlaps(self) -> list[tuple[Run, Run]]:
-        """Return pairs of runs of one task that overlap or of which the first was completed."""
+        """Return pairs of runs of one task that are not allowed.
+
+        The second one started before the first ended, or after the first completed the task.
+        """
         found = []
         for first, second in itertools.combinations(self.history, 2):
             if first.task != second.task:
--- a/standins/model.py
+++ b/standins/model.py
@@ -1,4 +1,4 @@
-"""An in-process fake of the platform that tests planning decisions without time or network.
+"""An in-process fake of the platform, to test planning decisions without clock or network.
 
 Each round it carries out the orders that the fleet's state implies; their effects show some rounds
 later. The decisions are real, only their effects are simulated.
@@ -54,10 +54,10 @@
     """Tokens of the orders that were carried out."""
     missing: dict[str, int] = field(default_factory=dict)
     """Assigned instances that are not listed, with the round since which they are not."""
-    never_back: set[str] = field(default_factory=set)
+    lost_on_reboot: set[str] = field(default_factory=set)
     """Instances that a reboot loses for good."""
     usage: UsageTracker = field(default_factory=UsageTracker)
-    last: Decision = field(default_factory=Decision)
+    last_decision: Decision = field(default_factory=Decision)
 
     def add(self, name: str, rack: str, hall: str, pool: str = "", millicores: int = 16000) -> None:
         """Add a live instance, in a pool or new to the system."""
@@ -109,12 +109,12 @@
     def step(self) -> Record | None:
         """Plan one round, apply its record and carry out its orders; return the record, if any."""
         self.round += 1
-        state = self._plan_input()
-        self.last = self.decide(state)
-        record = self.last.record()
+        plan_input = self._plan_input()
+        self.last_decision = self.decide(plan_input)
+        record = self.last_decision.record()
         if record is not None:
             record.revision = self.fleet.revision + 1
-            record.at_ms = state.now_ms
+            record.at_ms = plan_input.now_ms
             self.fleet.apply(record)
             self.records += 1
         for assignment in self.fleet.assignments.values():
@@ -168,7 +168,7 @@
             case InstanceState.MAINTAINING if f"{token}/reboot" not in self.carried_out:
                 self.carried_out.add(f"{token}/reboot")
                 instance.down_until = self.round + self.reboot_rounds
-                instance.dead = assignment.instance in self.never_back
+                instance.dead = assignment.instance in self.lost_on_reboot
                 instance.listed.boot = str(int(instance.listed.boot) + 1)
                 instance.listed.drained = False
             case InstanceState.RETURNING:
--- a/standins/suspendable.py
+++ b/standins/suspendable.py
@@ -38,7 +38,10 @@
         return SYSTEM_MONOTONIC() - self.suspended_s
 
     def on_resume(self, *_: object) -> None:
-        """Omit the suspension that just ended; a mere SIGSTOP leaves no marker file."""
+        """Subtract the suspension that just ended.
+
+        Without a marker file, the process was only stopped, and its clock went on.
+        """
         if self.marker.exists():
             self.suspended_s += SYSTEM_MONOTONIC() - float(self.marker.read_text())
             self.marker.unlink()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -245,12 +245,12 @@
         self.world.workers["m-0"].task_s = 0.1
         job = await self.submit(1, [LONE, {**LONE, "dependsOn": [0]}])
         await self.world.wait_for(lambda: bool(self.world.history), "the first step runs")
-        self.world.store.faults.refused_callers.add(self.world.workers["m-0"].id)
+        self.world.store.faults.refused_texts.add(self.world.workers["m-0"].id)
         await self.world.wait_for(lambda: self.world.history[0].how == "done", "it has ended")
         self.world.drain_worker("m-0")
         await asyncio.sleep(DRAIN_S + 0.05)
         await self.world.add_worker("m-1")
-        self.world.store.faults.refused_callers.clear()
+        self.world.store.faults.refused_texts.clear()
         await self.check_moved(job)
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -361,7 +361,7 @@
 
     async def test_owner_whose_calls_the_store_refuses(self) -> None:
         jobs = await self.submit_several()
-        self.world.store.faults.refused_callers.add(self.owner.name)
+        self.world.store.faults.refused_texts.add(self.owner.name)
         await self.world.wait_for(
             lambda: self.world.owner() != self.owner.name, "another node owns the pool"
         )
@@ -463,10 +463,14 @@
         await self.world.submit(self.node, job_id(2), [best_effort], payload="lasts")
         await self.world.wait_for(lambda: len(self.world.history) == 2, "both tasks run")
         runs = {run.task.partition(".")[0]: run for run in self.world.history}
-        runs[job_id(1)].figure = 300.0
-        await self.world.wait_for(lambda: runs[job_id(2)].pace == 0, "it is throttled to zero")
-        runs[job_id(1)].figure = 10.0
-        await self.world.wait_for(lambda: runs[job_id(2)].pace == 100, "it runs at full speed")
+        runs[job_id(1)].measurement = 300.0
+        await self.world.wait_for(
+            lambda: runs[job_id(2)].speed_percent == 0, "it is throttled to zero"
+        )
+        runs[job_id(1)].measurement = 10.0
+        await self.world.wait_for(
+            lambda: runs[job_id(2)].speed_percent == 100, "it runs at full speed"
+        )
 
 
 class LoadingTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -127,7 +127,7 @@
 
     def test_a_wave_halts_when_too_many_instances_do_not_return(self) -> None:
         model = build([(make_pool("p", 10, 2), 10)])
-        model.never_back = set(model.instances)
+        model.lost_on_reboot = set(model.instances)
         run_wave(model, parallel=2)
         progress = model.fleet.progress[WaveId("wave")]
         self.assertIs(progress.phase, WavePhase.HALTED)
@@ -136,7 +136,7 @@
 
     def test_failures_below_the_halt_share_do_not_halt(self) -> None:
         model = build([(make_pool("p", 10, 2), 10)])
-        model.never_back = {"i9"}
+        model.lost_on_reboot = {"i9"}
         run_wave(model, parallel=2)
         progress = model.fleet.progress[WaveId("wave")]
         self.assertIs(progress.phase, WavePhase.DONE)
@@ -148,7 +148,7 @@
         wave = make_wave("p", parallel=1)
         wave.halt_share = 1.0
         model = build([(make_pool("p", 4, 3), 4)])
-        model.never_back = set(model.instances)
+        model.lost_on_reboot = set(model.instances)
         model.fleet.waves[WaveId("wave")] = wave
         model.start_wave("wave")
         while not model.fleet.progress[WaveId("wave")].failed and model.round < ROUNDS:
@@ -193,7 +193,7 @@
             self.assertGreaterEqual(model.in_service(model.fleet.pools[PoolId("a")]), 3)
         pools = Counter(a.pool for a in model.fleet.assignments.values())
         self.assertEqual(pools, {"a": 3, "b": 3})
-        self.assertIn("1 instance(s) short", model.last.findings[0].message)
+        self.assertIn("1 instance(s) short", model.last_decision.findings[0].message)
 
     def test_nothing_moves_when_no_pool_is_short(self) -> None:
         model = build([(make_pool("a", 3, 1), 5), (make_pool("b", 2, 1), 2)])
@@ -285,9 +285,9 @@
             if placed[job.id] < job.tasks:
                 assert job.needs is not None
                 self.assertLess(max(free.values()), job.needs.millicores)
-                self.assertTrue(model.last.findings)
+                self.assertTrue(model.last_decision.findings)
         if not naive_fits(jobs, hosts):
-            self.assertTrue(model.last.findings)
+            self.assertTrue(model.last_decision.findings)
 
     def test_tasks_spread_over_data_halls_and_racks(self) -> None:
         model = self.place([self.job("j", 4, 1)], [10, 10, 10, 10])
@@ -307,7 +307,7 @@
         ]
         for jobs, hosts, teams, reason in cases:
             model = self.place(jobs, hosts, teams)
-            self.assertIn(reason, model.last.findings[0].message)
+            self.assertIn(reason, model.last_decision.findings[0].message)
 
     def test_new_tasks_are_placed_by_usage_above_the_declared_size(self) -> None:
         model = self.place([self.job("j", 1, 2)], [10])
@@ -315,7 +315,9 @@
         model.fleet.jobs[JobId("j")] = self.job("j", 2, 2)
         model.step()
         self.assertEqual(len(model.fleet.placements), 1)
-        self.assertIn("no instance of the pool has room now", model.last.findings[0].message)
+        self.assertIn(
+            "no instance of the pool has room now", model.last_decision.findings[0].message
+        )
 
     def test_a_failed_task_is_placed_elsewhere(self) -> None:
         model = self.place([self.job("j", 1, 2)], [10, 10])
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -119,7 +119,7 @@
         worker.faults.late_starts_s = 3.0
         worker.faults.late_starts_ignore_stops = True
         await self.world.submit(self.node, job_id(702), [LONG_RUNNING], payload="lasts")
-        await self.world.wait_for(lambda: bool(worker.refused), "the start is revoked")
+        await self.world.wait_for(lambda: bool(worker.final_runs), "the start is revoked")
         self.world.resize_worker("m-0", LONE["cpu"] // 2)
         await self.world.add_worker("m-1")
         await self.world.wait_for(lambda: self.count_running() == 1, "it runs elsewhere")
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -63,14 +63,14 @@
             backend.ejected_until = float("inf") if ejected else 0.0
             backends.append(backend)
         chosen = pick_least_loaded(backends)
-        usable = [b for b in backends if not b.leaving and b.has_free_capacity and not b.ejected]
+        usable = [b for b in backends if not b.leaving and b.has_free_capacity and not b.is_ejected]
         staying = [b for b in backends if not b.leaving]
         if chosen is None:
-            few_ejected = sum(b.ejected for b in staying) <= len(staying) / 2
+            few_ejected = sum(b.is_ejected for b in staying) <= len(staying) / 2
             self.assertFalse(few_ejected and usable)
             return
         self.assertTrue(chosen.has_free_capacity and not chosen.leaving)
-        if len(backends) <= SAMPLE_SIZE and not chosen.ejected:
+        if len(backends) <= SAMPLE_SIZE and not chosen.is_ejected:
             self.assertEqual(chosen.load(), min(b.load() for b in usable))
 
     def test_a_pool_whose_backend_servers_are_all_ejected_is_still_used(self) -> None:
@@ -78,7 +78,7 @@
         for backend in backends:
             for _ in range(SETTINGS.eject_after):
                 backend.note_failure()
-        self.assertTrue(all(backend.ejected for backend in backends))
+        self.assertTrue(all(backend.is_ejected for backend in backends))
         self.assertIsNotNone(pick_least_loaded(backends))
 
     def test_a_tried_backend_server_is_avoided_while_another_is_eligible(self) -> None:
@@ -197,8 +197,8 @@
         first = spent = 0
         for wants_retry in retries:
             if wants_retry:
-                spent += budget.spend()
+                spent += budget.try_take()
             else:
-                budget.earn()
+                budget.add_share()
                 first += 1
         self.assertLessEqual(spent, MAX_RETRY_TOKENS + share * first + 1e-6)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -99,11 +99,11 @@
         slow = self.start_behind_link()
         await self.world.wait_ready(slow)
         self.link.bytes_per_s = LINK_BYTES_PER_S
-        self.link.let_pass(Passage.NOTHING)
+        self.link.set_passage(Passage.NOTHING)
         for _ in range(MISSED_CHANGES):
             self.change()
         newest = self.world.version
-        self.link.let_pass(Passage.BOTH_WAYS)
+        self.link.set_passage(Passage.BOTH_WAYS)
         await self.world.wait_for(
             lambda: versions_in_force(slow)[-1] == newest, "the newest version is in force"
         )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -71,19 +71,19 @@
         writer.close()
 
     async def test_held_bytes_arrive_once_the_link_is_restored(self) -> None:
-        self.link.let_pass(Passage.NOTHING)
+        self.link.set_passage(Passage.NOTHING)
         self.writer.write(b"held")
-        self.link.let_pass(Passage.BOTH_WAYS)
+        self.link.set_passage(Passage.BOTH_WAYS)
         self.assertEqual(b"held", await self.reader.readexactly(4))
 
     async def test_one_way_link_carries_requests_but_no_responses(self) -> None:
         self.writer.write(b"first")
         await self.reader.readexactly(5)
-        self.link.let_pass(Passage.REQUESTS_ONLY)
+        self.link.set_passage(Passage.REQUESTS_ONLY)
         self.received.clear()
         self.writer.write(b"second")
         await self.received.wait()
-        self.link.let_pass(Passage.BOTH_WAYS)
+        self.link.set_passage(Passage.BOTH_WAYS)
         self.assertEqual(b"second", await self.reader.readexactly(6))
 
     async def test_reset_breaks_connections(self) -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,7 +10,7 @@
 from pumicespur.connect import PlatformClient
 from pumicespur.planning import Decision, Planner
 from pumicespur.routing import ClaimWriter
-from pumicespur.routing._claims import Taken, Unresolved, Won
+from pumicespur.routing._claims import KeyInUse, Unresolved, Written
 from pumicespur.schema.claims_pb import ClaimState
 from pumicespur.schema.fleet_pb import Declaration, Pool, Record
 from pumicespur.schema.settings_pb import ManagerSettings, PlatformSettings
@@ -231,7 +231,7 @@
         keys = [f"k{n}" for n in range(40)]
         for key, results in (await self.claim_all(writers, keys)).items():
             kinds = sorted(type(result).__name__ for result in results)
-            self.assertEqual(kinds, ["Taken", "Taken", "Won"], key)
+            self.assertEqual(kinds, ["KeyInUse", "KeyInUse", "Written"], key)
         writes = sum(writer.transactions for writer in writers)
         self.assertLess(writes, len(keys))
 
@@ -240,7 +240,7 @@
         writers = [ClaimWriter(self.client(), f"entry-{n}") for n in range(2)]
         await self.orders.fail(PlatformFault.LOSE_ANSWERS, count=2)
         for key, results in (await self.claim_all(writers, [f"k{n}" for n in range(20)])).items():
-            won = [result for result in results if isinstance(result, Won)]
+            won = [result for result in results if isinstance(result, Written)]
             self.assertEqual(len(won), 1, key)
 
     async def test_a_claim_during_an_outage_is_unresolved_and_has_a_reason(self) -> None:
@@ -257,7 +257,7 @@
         first, second = (ClaimWriter(self.client(), name) for name in ("a", "b"))
         await self.claim_all([first], ["k1"])
         match (await self.claim_all([second], ["k1"]))["k1"]:
-            case [Taken(claim=claim)]:
+            case [KeyInUse(claim=claim)]:
                 self.assertEqual((claim.entry, claim.state), ("a", ClaimState.HELD))
             case other:
                 self.fail(str(other))
