--- a/pumicespur/jobs/_owner.py
+++ b/pumicespur/jobs/_owner.py
@@ -143,7 +143,7 @@
         """Return the current versions and ages of the tables that orders depend on."""
         return KnownState(
             workers=self.view.workers_progress,
-            submissions=self.submissions.progress,
+            submissions=self.submissions.table_progress,
             configuration=self.view.configuration.version,
         )
 
@@ -202,7 +202,7 @@
             token=self.token,
             jobs=len(self.pool.jobs),
             ended=len(self.submissions.ended),
-            submissions_version=self.submissions.progress.version,
+            submissions_version=self.submissions.table_progress.version,
         )
 
     def sync_workers(self) -> None:
--- a/pumicespur/jobs/_submission_follower.py
+++ b/pumicespur/jobs/_submission_follower.py
@@ -63,7 +63,7 @@
         self.ended: dict[JobId, int] = {}
         """Ended jobs with the time of their end, in milliseconds since 1970."""
         self.cleanup = SubmissionCleanup(pool.pool, table)
-        self.progress = TableProgress()
+        self.table_progress = TableProgress()
         """Version and age of the known submissions."""
 
     async def load(self) -> None:
@@ -96,7 +96,7 @@
         async with anyio.create_task_group() as readers:
             for partition in submission_partitions(pool):
                 readers.start_soon(read, partition)
-        self.progress = TableProgress(min(page.version for page in pages), asked_at)
+        self.table_progress = TableProgress(min(page.version for page in pages), asked_at)
         return [row for page in pages for row in page.rows]
 
     async def _retry(self, call: Callable[[], Awaitable[Result[Any, Any]]]) -> Any:
@@ -149,12 +149,12 @@
             max_timeout_s = max(0.0, self.max_age_s - self.watch_s)
             timeout_s = min(self.table.response_times.fallback_timeout_s(asked_at), max_timeout_s)
             response = await self.table.changes(
-                table, self.progress.version, self.watch_s, timeout_s
+                table, self.table_progress.version, self.watch_s, timeout_s
             )
             match response:
                 case Result(tag="ok", ok=page):
-                    current_as_of = asked_at if page.complete else self.progress.asked_at
-                    self.progress = TableProgress(page.version, current_as_of)
+                    current_as_of = asked_at if page.complete else self.table_progress.asked_at
+                    self.table_progress = TableProgress(page.version, current_as_of)
                     rows = page.rows
                 case Result(error=HistoryGone()):
                     log.warning(
--- a/pumicespur/node/_table_follower.py
+++ b/pumicespur/node/_table_follower.py
@@ -123,7 +123,11 @@
                     with anyio.move_on_after(self.pause_s()):
                         await self.expedited.wait()
                 case Result(error=HistoryGone()):
-                    log.warning("table read anew", table=self.name, reason="history gone")
+                    log.warning(
+                        "table read anew",
+                        table=self.name,
+                        reason="the store has dropped the changes",
+                    )
                     version = None
                 case Result(error=AnswerLost()) if self.fallback and self.table.is_responding():
                     await self._read_fallback(self.fallback)
--- a/tests/test_incarnations_model.py
+++ b/tests/test_incarnations_model.py
@@ -338,7 +338,7 @@
         while True:
             self.view.workers_progress = TableProgress(1, monotonic())
             if self.owner is not None:
-                self.owner.submissions.progress = TableProgress(1, monotonic())
+                self.owner.submissions.table_progress = TableProgress(1, monotonic())
             await anyio.sleep(READ_S)
 
     async def _submit_jobs(self) -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -555,7 +555,7 @@
             await follower.follow()
         self.assertLessEqual(asked[0], 0.5)
         self.assertEqual(sorted(submission_partitions(PoolId("main"))), sorted(parts))
-        self.assertEqual(7, follower.progress.version)
+        self.assertEqual(7, follower.table_progress.version)
 
 
 class PoolSizerTest(unittest.TestCase):
